--- a/dogwoodvale/src/Scheduling/AdaptiveConcurrencyLimit.cpp
+++ b/dogwoodvale/src/Scheduling/AdaptiveConcurrencyLimit.cpp
@@ -8,33 +8,39 @@
 
 namespace {
 
-/// Token samples in a window, per request that may run: as many steps.
+/// Length of a window, in token intervals per request of the limit; at full
+/// load this is the number of engine steps.
 constexpr double kStepsPerWindow = 16;
-/// First tokens, or else windows, needed to judge the waiting inside: where
-/// answers are long, first tokens are rare.
-constexpr std::size_t kFirstTokens = 8;
-constexpr std::uint32_t kWindowsPerJudgement = 4;
-/// One window takes the limit down to no less than this share.
-constexpr double kMostDecrease = 0.8;
-/// Below this share of what is allowed the limit may rise.
-constexpr double kHeadroom = 0.9;
-/// Lowest times are forgotten this fast per window: what was lowest before a
-/// change of model or hardware must not hold the limit down for ever.
-constexpr double kForgetting = 1.02;
-/// A server that misses the target even unloaded may be slowed by this much.
-constexpr double kUnloadedStretch = 1.25;
+/// The requests queued inside the server are estimated after this many first
+/// tokens, or after this many windows, as first tokens are rare where answers
+/// are long.
+constexpr std::size_t kFirstTokensPerEstimate = 8;
+constexpr std::uint32_t kWindowsPerEstimate = 4;
+/// Lower bound of the factor by which one window lowers the limit.
+constexpr double kMinDecreaseFactor = 0.8;
+/// The limit may rise only while the step time is below this fraction of the
+/// allowed one.
+constexpr double kMaxStepRatioToRaise = 0.9;
+/// Factor by which the baselines rise per window, so that a baseline from
+/// before a change of model or hardware does not hold the limit down for ever.
+constexpr double kBaselineGrowthPerWindow = 1.02;
+/// Allowed step time, as a multiple of the unloaded one, of a server that
+/// misses the target even unloaded.
+constexpr double kMaxSlowdownOverUnloaded = 1.25;
 
-/// Requests waiting inside the server: below the first the limit may rise,
-/// above the second it comes down. Between them, and while there is nothing to
-/// judge by, it stays.
-constexpr double kFewWaiting = 0.25;
-constexpr double kManyWaiting = 0.75;
+/// Watermarks of the requests queued inside the server. Below the low one the
+/// limit may rise, above the high one it is lowered. Between them, and while
+/// there are too few samples for an estimate, it stays.
+constexpr double kQueuedLowWatermark = 0.25;
+constexpr double kQueuedHighWatermark = 0.75;
 
-/// Requests without a first token are taken as waiting inside beyond this many,
-/// plus this multiple of what the usual times account for.
-constexpr double kUnansweredAlways = 2;
-constexpr double kUnansweredFactor = 4;
-constexpr Duration kLongestUnanswered = seconds(10);
+/// Requests that await their first token count as queued inside the server
+/// beyond the sum of this number and of this multiple of the number that the
+/// baseline times explain.
+constexpr double kAwaitingAllowance = 2;
+constexpr double kAwaitingFactor = 4;
+/// Age at which a request without a first token is no longer counted.
+constexpr Duration kMaxAwaitingAge = seconds(10);
 
 double
 MedianOf(std::vector<double>& aValues)
@@ -53,7 +59,8 @@
   if (aOptions.minimum < 1 || aOptions.minimum > aOptions.initial ||
       aOptions.initial > aOptions.maximum) {
     return MakeError(absl::StatusCode::kInvalidArgument,
-                     "concurrency limit: need 1 <= {} <= {} <= {}",
+                     "concurrency limit: need 1 <= minimum {} <= initial {} "
+                     "<= maximum {}",
                      aOptions.minimum,
                      aOptions.initial,
                      aOptions.maximum);
@@ -61,8 +68,8 @@
   if (aOptions.tokenTarget <= Duration(0) ||
       !(aOptions.firstTokenTolerance > 1)) {
     return MakeError(absl::StatusCode::kInvalidArgument,
-                     "concurrency limit: target {} us must be positive, "
-                     "tolerance {} above 1",
+                     "concurrency limit: token target {} us must be positive "
+                     "and first-token tolerance {} above 1",
                      aOptions.tokenTarget.count(),
                      aOptions.firstTokenTolerance);
   }
@@ -78,9 +85,9 @@
 void
 AdaptiveConcurrencyLimit::OnStart(TimePoint aNow)
 {
-  this->NoteTime(aNow);
+  this->RecordTime(aNow);
   ++this->inFlight;
-  this->unanswered.push_back(aNow);
+  this->awaitingFirstToken.push_back(aNow);
   this->limitReached |= this->inFlight >= this->Limit();
 }
 
@@ -88,15 +95,18 @@
 AdaptiveConcurrencyLimit::OnFirstToken(Duration aWait,
                                        std::uint32_t aPromptTokens)
 {
-  this->DropUnanswered();
+  this->RemoveAwaiting();
   const double wait = std::max<double>(1, static_cast<double>(aWait.count()));
-  const auto size = std::min<std::size_t>(
-    static_cast<std::size_t>(std::bit_width(aPromptTokens)), kPromptSizes - 1);
-  double& lowest = this->lowestFirstToken.at(size);
-  lowest = lowest == 0 ? wait : std::min(lowest, wait);
-  this->firstTokens.push_back({ wait, lowest });
-  // Answers of a single token bring no intervals that would close the window.
-  if (this->tokens == 0 && this->firstTokens.size() >= 2 * kFirstTokens) {
+  const auto bucket = std::min<std::size_t>(
+    static_cast<std::size_t>(std::bit_width(aPromptTokens)),
+    kPromptBuckets - 1);
+  double& baseline = this->firstTokenBaseline.at(bucket);
+  baseline = baseline == 0 ? wait : std::min(baseline, wait);
+  this->firstTokens.push_back({ wait, baseline });
+  // Answers of a single token yield no intervals, so the window would never
+  // close.
+  if (this->intervals == 0 &&
+      this->firstTokens.size() >= 2 * kFirstTokensPerEstimate) {
     this->Adjust();
   }
 }
@@ -104,15 +114,15 @@
 void
 AdaptiveConcurrencyLimit::OnToken(Duration aInterval)
 {
-  this->tokenSum += static_cast<double>(aInterval.count());
-  ++this->tokens;
+  this->intervalSum += static_cast<double>(aInterval.count());
+  ++this->intervals;
   this->CloseWindowWhenFull();
 }
 
 void
 AdaptiveConcurrencyLimit::OnFinish(TimePoint aNow)
 {
-  this->NoteTime(aNow);
+  this->RecordTime(aNow);
   ++this->finishes;
   if (this->inFlight > 0) {
     --this->inFlight;
@@ -122,15 +132,15 @@
 void
 AdaptiveConcurrencyLimit::OnFinishUnanswered(TimePoint aNow)
 {
-  this->DropUnanswered();
+  this->RemoveAwaiting();
   this->OnFinish(aNow);
 }
 
 void
-AdaptiveConcurrencyLimit::NoteTime(TimePoint aNow)
+AdaptiveConcurrencyLimit::RecordTime(TimePoint aNow)
 {
-  if (!this->windowStart) {
-    this->windowStart = aNow;
+  if (!this->estimateStart) {
+    this->estimateStart = aNow;
   }
   this->latest = aNow;
 }
@@ -138,7 +148,7 @@
 void
 AdaptiveConcurrencyLimit::CloseWindowWhenFull()
 {
-  if (this->tokens >= kStepsPerWindow * this->limit) {
+  if (this->intervals >= kStepsPerWindow * this->limit) {
     this->Adjust();
   }
 }
@@ -146,14 +156,15 @@
 void
 AdaptiveConcurrencyLimit::Adjust()
 {
-  const double step = this->StepSignal();
-  const double waiting = this->WaitingInside();
-  this->signal = std::max(step, waiting / kManyWaiting);
-  if (step > 1) {
-    this->LowerTo(this->limit / step);
-  } else if (waiting > kManyWaiting) {
-    this->LowerTo(this->limit - waiting + kFewWaiting);
-  } else if (step < kHeadroom && waiting < kFewWaiting && this->limitReached) {
+  const double stepRatio = this->StepRatio();
+  const double queued = this->QueuedInServer();
+  this->signal = std::max(stepRatio, queued / kQueuedHighWatermark);
+  if (stepRatio > 1) {
+    this->LowerTo(this->limit / stepRatio);
+  } else if (queued > kQueuedHighWatermark) {
+    this->LowerTo(this->limit - queued + kQueuedLowWatermark);
+  } else if (stepRatio < kMaxStepRatioToRaise && queued < kQueuedLowWatermark &&
+             this->limitReached) {
     this->limit += this->wasLowered ? 1 : this->limit / 2;
   }
   this->limit = std::clamp<double>(
@@ -164,46 +175,47 @@
 void
 AdaptiveConcurrencyLimit::LowerTo(double aLimit)
 {
-  // Until what runs has come down to the last limit, the signs still tell of
-  // the load before it. Lowering again on them would stop all starts, those of
-  // the highest tier too, for as long as the longest answers run.
+  // Until the requests in flight have fallen to the current limit, the samples
+  // reflect the load before the last decrease. Lowering the limit again on them
+  // would stop all starts, also of the highest tier, until the longest answers
+  // have ended.
   if (this->inFlight > this->Limit()) {
     return;
   }
   this->wasLowered = true;
-  this->limit = std::max(aLimit, kMostDecrease * this->limit);
+  this->limit = std::max(aLimit, kMinDecreaseFactor * this->limit);
 }
 
 void
 AdaptiveConcurrencyLimit::StartWindow()
 {
   ++this->windows;
-  this->lowestStep *= kForgetting;
-  for (double& lowest : this->lowestFirstToken) {
-    lowest *= kForgetting;
+  this->stepBaseline *= kBaselineGrowthPerWindow;
+  for (double& baseline : this->firstTokenBaseline) {
+    baseline *= kBaselineGrowthPerWindow;
   }
-  this->tokenSum = 0;
-  this->tokens = 0;
+  this->intervalSum = 0;
+  this->intervals = 0;
   this->limitReached = this->inFlight >= this->Limit();
 }
 
 double
-AdaptiveConcurrencyLimit::StepSignal()
+AdaptiveConcurrencyLimit::StepRatio()
 {
-  if (this->tokens == 0) {
+  if (this->intervals == 0) {
     return 0;
   }
-  const double mean = std::max(1.0, this->tokenSum / this->tokens);
+  const double mean = std::max(1.0, this->intervalSum / this->intervals);
   this->stepTime = Duration(std::llround(mean));
-  this->lowestStep =
-    this->lowestStep == 0 ? mean : std::min(this->lowestStep, mean);
-  this->NoteUnloadedStep(mean);
+  this->stepBaseline =
+    this->stepBaseline == 0 ? mean : std::min(this->stepBaseline, mean);
+  this->UpdateUnloadedStep(mean);
   const auto target = static_cast<double>(this->options.tokenTarget.count());
-  return mean / std::max(target, kUnloadedStretch * this->unloadedStep);
+  return mean / std::max(target, kMaxSlowdownOverUnloaded * this->unloadedStep);
 }
 
 void
-AdaptiveConcurrencyLimit::NoteUnloadedStep(double aMean)
+AdaptiveConcurrencyLimit::UpdateUnloadedStep(double aMean)
 {
   const auto target = static_cast<double>(this->options.tokenTarget.count());
   if (aMean <= target) {
@@ -215,87 +227,90 @@
 }
 
 double
-AdaptiveConcurrencyLimit::WaitingInside()
+AdaptiveConcurrencyLimit::QueuedInServer()
 {
-  if (this->firstTokens.size() < kFirstTokens &&
-      this->windows < kWindowsPerJudgement) {
-    return (kFewWaiting + kManyWaiting) / 2;
+  if (this->firstTokens.size() < kFirstTokensPerEstimate &&
+      this->windows < kWindowsPerEstimate) {
+    return (kQueuedLowWatermark + kQueuedHighWatermark) / 2;
   }
-  const double waiting =
-    std::max(this->MedianWaiting(), this->UnansweredWaiting());
+  const double queued =
+    std::max(this->QueuedByFirstTokenTimes(), this->QueuedByAwaitingCount());
   this->firstTokens.clear();
   this->windows = 0;
   this->finishes = 0;
-  this->windowStart = this->latest;
-  return waiting;
+  this->estimateStart = this->latest;
+  return queued;
 }
 
 double
-AdaptiveConcurrencyLimit::MedianWaiting()
+AdaptiveConcurrencyLimit::QueuedByFirstTokenTimes()
 {
-  const double span = this->JudgedSpan();
+  const double span = this->EstimateSpan();
   if (this->firstTokens.empty() || span <= 0) {
     return 0;
   }
-  std::vector<double> extra;
-  for (const FirstToken& token : this->firstTokens) {
-    const double usual = token.lowest * this->Slowdown();
-    extra.push_back(token.wait < this->options.firstTokenTolerance * usual
-                      ? 0
-                      : token.wait - usual);
+  std::vector<double> excess;
+  for (const FirstTokenSample& sample : this->firstTokens) {
+    const double expected = sample.baseline * this->Slowdown();
+    excess.push_back(sample.wait < this->options.firstTokenTolerance * expected
+                       ? 0
+                       : sample.wait - expected);
   }
-  return MedianOf(extra) * this->finishes / span;
+  return MedianOf(excess) * this->finishes / span;
 }
 
 double
-AdaptiveConcurrencyLimit::UnansweredWaiting()
+AdaptiveConcurrencyLimit::QueuedByAwaitingCount()
 {
-  const double span = this->JudgedSpan();
+  const double span = this->EstimateSpan();
   if (span <= 0) {
     return 0;
   }
-  // A start whose end was not told would count for ever and hold the limit at
-  // the minimum; no engine makes a request wait this long.
-  while (!this->unanswered.empty() &&
-         Between(this->unanswered.front(), this->latest) > kLongestUnanswered) {
-    this->unanswered.pop_front();
+  // A start whose end was never reported would be counted for ever and hold the
+  // limit at the minimum. No engine delays a first token this long.
+  while (!this->awaitingFirstToken.empty() &&
+         Between(this->awaitingFirstToken.front(), this->latest) >
+           kMaxAwaitingAge) {
+    this->awaitingFirstToken.pop_front();
   }
-  double usual = 0;
-  for (const FirstToken& token : this->firstTokens) {
-    usual += token.lowest * this->Slowdown();
+  double expected = 0;
+  for (const FirstTokenSample& sample : this->firstTokens) {
+    expected += sample.baseline * this->Slowdown();
   }
-  // Prefills that run side by side take several times as long as one alone.
-  return static_cast<double>(this->unanswered.size()) - kUnansweredAlways -
-         kUnansweredFactor * usual / span;
+  // Concurrent prefills take several times as long as a single one; hence the
+  // factor.
+  return static_cast<double>(this->awaitingFirstToken.size()) -
+         kAwaitingAllowance - kAwaitingFactor * expected / span;
 }
 
 void
-AdaptiveConcurrencyLimit::DropUnanswered()
+AdaptiveConcurrencyLimit::RemoveAwaiting()
 {
-  // Which one was answered does not matter for their number. Taking the newest
-  // leaves those whose end was not told in front, where they are forgotten.
-  if (!this->unanswered.empty()) {
-    this->unanswered.pop_back();
+  // Only the number matters, not which request got its token. Removing the
+  // newest leaves starts whose end was never reported at the front, where they
+  // expire.
+  if (!this->awaitingFirstToken.empty()) {
+    this->awaitingFirstToken.pop_back();
   }
 }
 
 double
-AdaptiveConcurrencyLimit::JudgedSpan() const
+AdaptiveConcurrencyLimit::EstimateSpan() const
 {
-  return this->windowStart
+  return this->estimateStart
            ? static_cast<double>(
-               Between(*this->windowStart, this->latest).count())
+               Between(*this->estimateStart, this->latest).count())
            : 0;
 }
 
 double
 AdaptiveConcurrencyLimit::Slowdown() const
 {
-  return this->lowestStep == 0
+  return this->stepBaseline == 0
            ? 1
            : std::max(1.0,
                       static_cast<double>(this->stepTime.count()) /
-                        this->lowestStep);
+                        this->stepBaseline);
 }
 
 } // namespace dogwoodvale
--- a/dogwoodvale/src/Scheduling/AdaptiveConcurrencyLimit.h
+++ b/dogwoodvale/src/Scheduling/AdaptiveConcurrencyLimit.h
@@ -11,39 +11,44 @@
 
 namespace dogwoodvale {
 
-/// A limit learned from the server's step time and from waiting inside it.
+/// Limit adapted to the server's step time (the time between two tokens of a
+/// request) and to the number of requests queued inside the server.
 ///
-/// Two signs of too much work. The time between tokens exceeds its target: then
-/// the limit comes down in proportion. Or first tokens take longer than the
-/// lowest time seen for prompts of like size, beyond what the steps themselves
-/// have become slower by: by Little's law that excess times the rate of
-/// finishes is the number that wait inside, and the limit comes down by it.
-/// Those that have no first token yet show in no such time; a server that holds
-/// back some of its requests is told by their number.
-/// With neither, and with the limit in use, it rises by half until the first
-/// sign, and by one from there.
+/// There are two overload signals:
+/// - The mean step time exceeds its target. The limit is lowered in proportion.
+/// - Requests queue inside the server. First tokens then take longer than the
+///   lowest time seen for prompts of similar length, by more than the slowdown
+///   of the steps explains. By Little's law, this excess times the completion
+///   rate is the number of queued requests, and the limit is lowered by it.
+///   Requests without a first token contribute no such time; a server that
+///   holds some of its requests back is detected by the number of requests that
+///   await their first token.
 ///
-/// So it follows a straggler down, to where its tokens meet the target, and
-/// back up. A server that misses the target even at the minimum is given the
-/// work that slows it by no more than a quarter: starving it would cost goodput
-/// and mend nothing.
+/// Without a signal, and if the limit was reached, the limit rises by half per
+/// window until the first overload, and by one per window afterwards.
+///
+/// The limit so follows a slow server down to where its step time meets the
+/// target, and back up when the server recovers. A server that misses the
+/// target even at the minimum limit gets the load that slows its steps by at
+/// most a quarter: less work would cost goodput without meeting the target.
 class AdaptiveConcurrencyLimit : public ConcurrencyLimit
 {
 public:
   struct Options
   {
+    /// Bounds and initial value of the limit, in requests.
     std::uint32_t minimum = 1;
     std::uint32_t maximum = 256;
     std::uint32_t initial = 8;
-    /// Between tokens, what the classes were promised.
+    /// Target of the time between tokens, from the classes' service levels.
     Duration tokenTarget = milliseconds(38);
-    /// First token: below this multiple of the lowest seen it did not wait;
-    /// above 1.
+    /// A request whose first token took less than this multiple of the expected
+    /// time is taken as not queued inside the server; above 1.
     double firstTokenTolerance = 1.5;
   };
 
-  /// \return InvalidArgument unless 1 <= minimum <= initial <= maximum, the
-  /// target is positive and the tolerance above 1.
+  /// \return InvalidArgument unless 1 <= minimum <= initial <= maximum,
+  /// tokenTarget is positive and firstTokenTolerance is above 1.
   static absl::StatusOr<AdaptiveConcurrencyLimit> Create(
     const Options& aOptions);
 
@@ -55,12 +60,13 @@
   void OnFinishUnanswered(TimePoint aNow) override;
   double QueueingSignal() const override { return this->signal; }
 
-  /// Mean time between tokens of the last whole window; zero before one.
+  /// Mean time between tokens in the last complete window; zero before the
+  /// first one.
   Duration StepTime() const { return this->stepTime; }
 
 private:
-  /// Prompts are told apart by the power of two of their length.
-  static constexpr std::size_t kPromptSizes = 24;
+  /// Number of prompt length buckets; one for each power of two.
+  static constexpr std::size_t kPromptBuckets = 24;
 
   explicit AdaptiveConcurrencyLimit(const Options& aOptions)
     : options(aOptions)
@@ -69,48 +75,57 @@
   }
   void CloseWindowWhenFull();
   void Adjust();
-  double StepSignal();
-  double WaitingInside();
-  double MedianWaiting();
-  double UnansweredWaiting();
-  void DropUnanswered();
-  double JudgedSpan() const;
+  /// Mean step time over the target; 0 without samples.
+  double StepRatio();
+  /// Estimated number of requests queued inside the server.
+  double QueuedInServer();
+  double QueuedByFirstTokenTimes();
+  double QueuedByAwaitingCount();
+  void RemoveAwaiting();
+  /// Time covered by the current estimate, in microseconds.
+  double EstimateSpan() const;
+  /// Step time over its baseline; at least 1.
   double Slowdown() const;
   void LowerTo(double aLimit);
   void StartWindow();
-  void NoteTime(TimePoint aNow);
-  void NoteUnloadedStep(double aMean);
+  void RecordTime(TimePoint aNow);
+  void UpdateUnloadedStep(double aMean);
 
   Options options;
   double limit;
   double signal = 0;
   Duration stepTime{ 0 };
   bool wasLowered = false;
-  /// Lowest time to first token by prompt size and lowest mean step time, in
-  /// microseconds; 0 when none. Slowly forgotten.
-  std::array<double, kPromptSizes> lowestFirstToken{};
-  double lowestStep = 0;
-  /// Step time at the minimum limit while that misses the target; else 0.
+  /// Baselines: lowest time to first token by prompt length bucket and lowest
+  /// mean step time, in microseconds; 0 when unknown. They rise slowly, see
+  /// kBaselineGrowthPerWindow.
+  std::array<double, kPromptBuckets> firstTokenBaseline{};
+  double stepBaseline = 0;
+  /// Step time at the minimum limit while even that misses the target, in
+  /// microseconds; 0 otherwise.
   double unloadedStep = 0;
 
-  // The window under way.
-  double tokenSum = 0;
-  std::uint32_t tokens = 0;
+  // State of the current window.
+  /// Sum of the intervals between tokens, in microseconds, and their number.
+  double intervalSum = 0;
+  std::uint32_t intervals = 0;
   bool limitReached = false;
 
-  struct FirstToken
+  /// Time to a first token, and the baseline of its bucket, in microseconds.
+  struct FirstTokenSample
   {
     double wait = 0;
-    double lowest = 0;
+    double baseline = 0;
   };
-  /// Kept until there are enough to judge by, with the finishes and the time
-  /// since the last judgement.
-  std::vector<FirstToken> firstTokens;
+  // State of the current estimate of the requests queued inside the server,
+  // which may span several windows. \sa QueuedInServer
+  std::vector<FirstTokenSample> firstTokens;
   std::uint32_t windows = 0;
   std::uint32_t finishes = 0;
-  /// Starts of those in flight without a first token, oldest first.
-  std::deque<TimePoint> unanswered;
-  std::optional<TimePoint> windowStart;
+  std::optional<TimePoint> estimateStart;
+  /// Start times of the requests that await their first token, oldest first.
+  std::deque<TimePoint> awaitingFirstToken;
+  /// Time of the last start or finish.
   TimePoint latest;
 };
 
--- a/dogwoodvale/src/Scheduling/ConcurrencyLimit.h
+++ b/dogwoodvale/src/Scheduling/ConcurrencyLimit.h
@@ -7,37 +7,39 @@
 
 namespace dogwoodvale {
 
-/// How many requests one backend server is given at once, so that waiting
-/// happens in the sidecar's queue, where tiers count.
+/// Limit on the requests in flight to one backend server, so that requests wait
+/// in the sidecar's queue, which respects tiers, rather than inside the server.
 class ConcurrencyLimit
 {
 public:
   virtual ~ConcurrencyLimit() = default;
 
-  /// Requests that may run at once; at least 1.
+  /// Maximum number of requests in flight; at least 1.
   virtual std::uint32_t Limit() const = 0;
 
-  /// One request was sent to the server.
+  /// A request was sent to the server.
   virtual void OnStart(TimePoint aNow) = 0;
 
-  /// Its first token came \p aWait after the start.
+  /// The first token of a request arrived \p aWait after its start.
   virtual void OnFirstToken(Duration aWait, std::uint32_t aPromptTokens) = 0;
 
-  /// A further token came \p aInterval after the one before it.
+  /// A later token of a request arrived \p aInterval after the one before it.
   virtual void OnToken(Duration aInterval) = 0;
 
-  /// It ended, in whichever way, after its first token.
+  /// A request ended, successfully or not, after its first token.
   virtual void OnFinish(TimePoint aNow) = 0;
 
-  /// It ended without a first token: cancelled, refused or lost. Told apart
-  /// from OnFinish because those that await their first token are counted.
+  /// A request ended without a first token: cancelled, refused or lost.
+  /// Separate from OnFinish because requests that await their first token are
+  /// counted.
   virtual void OnFinishUnanswered(TimePoint aNow) = 0;
 
-  /// Above 1 when the server is slower than it should be, i.e. requests wait
-  /// inside it; 0 before anything was learned.
+  /// Overload signal: above 1 when the server exceeds the target time between
+  /// tokens or queues requests internally; 0 before the first measurement.
   virtual double QueueingSignal() const = 0;
 
   std::uint32_t InFlight() const { return this->inFlight; }
+  /// Whether another request may start.
   bool HasRoom() const { return this->inFlight < this->Limit(); }
 
 protected:
--- a/dogwoodvale/src/Scheduling/CustomerLine.cpp
+++ b/dogwoodvale/src/Scheduling/CustomerQueue.cpp
@@ -1,10 +1,10 @@
-#include "CustomerLine.h"
+#include "CustomerQueue.h"
 
 namespace dogwoodvale::internal {
 
 namespace {
 
-/// The last moment at which a start still meets the target.
+/// The latest time at which a start is still expected to meet the target.
 TimePoint
 LatestStartOf(const QueuedRequest& aRequest)
 {
@@ -20,25 +20,25 @@
 }
 
 void
-CustomerLine::Add(const QueuedRequest& aRequest, SlabIndex aIndex)
+CustomerQueue::Add(const QueuedRequest& aRequest, SlabIndex aIndex)
 {
   this->byAge.emplace(DueOf(aRequest), aIndex);
   this->bySlack.emplace(LatestStartOf(aRequest), aIndex);
 }
 
 void
-CustomerLine::Remove(const QueuedRequest& aRequest, SlabIndex aIndex)
+CustomerQueue::Remove(const QueuedRequest& aRequest, SlabIndex aIndex)
 {
   this->byAge.erase({ DueOf(aRequest), aIndex });
   this->bySlack.erase({ LatestStartOf(aRequest), aIndex });
 }
 
 SlabIndex
-CustomerLine::Next(TimePoint aNow) const
+CustomerQueue::Next(TimePoint aNow) const
 {
-  const auto timely = this->bySlack.lower_bound({ aNow, 0 });
-  return timely == this->bySlack.end() ? this->bySlack.begin()->second
-                                       : timely->second;
+  const auto onTime = this->bySlack.lower_bound({ aNow, 0 });
+  return onTime == this->bySlack.end() ? this->bySlack.begin()->second
+                                       : onTime->second;
 }
 
 } // namespace dogwoodvale::internal
--- a/dogwoodvale/src/Scheduling/CustomerLine.h
+++ b/dogwoodvale/src/Scheduling/CustomerQueue.h
@@ -1,5 +1,5 @@
-#ifndef DOGWOODVALE_SCHEDULING_CUSTOMERLINE_H
-#define DOGWOODVALE_SCHEDULING_CUSTOMERLINE_H
+#ifndef DOGWOODVALE_SCHEDULING_CUSTOMERQUEUE_H
+#define DOGWOODVALE_SCHEDULING_CUSTOMERQUEUE_H
 
 #include <cstddef>
 #include <cstdint>
@@ -12,13 +12,13 @@
 
 namespace dogwoodvale::internal {
 
-/// The waiting requests of one customer in one class, in two orders.
+/// The queued requests of one customer in one class, in two orders.
 ///
-/// By slack: those which can still meet their target first, the most urgent of
-/// them in front; then the late ones. By age: the one that becomes overdue
-/// first in front. Nothing moves when a request becomes late: the late ones
-/// are those whose latest start lies before now.
-class CustomerLine
+/// By slack: requests that can still meet their target, least slack first, then
+/// the late ones. By age: the request that becomes overdue first is first.
+/// A request that becomes late is not moved: the late requests are those whose
+/// latest start lies before the current time.
+class CustomerQueue
 {
 public:
   void Add(const QueuedRequest& aRequest, SlabIndex aIndex);
@@ -27,12 +27,13 @@
   bool IsEmpty() const { return this->byAge.empty(); }
   std::size_t Size() const { return this->byAge.size(); }
 
-  /// By slack; only when not empty.
+  /// First by slack. Precondition: not empty.
   SlabIndex Next(TimePoint aNow) const;
-  /// By age; only when not empty.
+  /// First by age. Precondition: not empty.
   SlabIndex Oldest() const { return this->byAge.begin()->second; }
+  /// Last by age. Precondition: not empty.
   SlabIndex Newest() const { return this->byAge.rbegin()->second; }
-  /// When the oldest becomes overdue; only when not empty.
+  /// When the oldest request becomes overdue. Precondition: not empty.
   TimePoint Due() const { return this->byAge.begin()->first; }
 
 private:
@@ -42,7 +43,7 @@
   Order bySlack;
 };
 
-/// When \p aRequest has waited its class's bound.
+/// When \p aRequest becomes overdue, i.e. has waited for its maxWait.
 TimePoint
 DueOf(const QueuedRequest& aRequest);
 
--- a/dogwoodvale/src/Scheduling/EarlyRefusal.cpp
+++ b/dogwoodvale/src/Scheduling/EarlyRefusal.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// Classes whose newcomers are counted.
+/// Maximum number of classes whose arrivals are counted.
 constexpr std::size_t kMaxClasses = 1024;
 
 double
@@ -23,70 +23,73 @@
 {
   if (!(aOptions.shareOfMaxWait > 0 && aOptions.shareOfMaxWait <= 1)) {
     return MakeError(absl::StatusCode::kInvalidArgument,
-                     "early refusal: the share {} is outside (0, 1]",
+                     "early refusal: share {} of the maximum wait is outside "
+                     "(0, 1]",
                      aOptions.shareOfMaxWait);
   }
   if (!(aOptions.shareInBurst >= aOptions.shareOfMaxWait &&
         aOptions.shareInBurst <= 1)) {
     return MakeError(absl::StatusCode::kInvalidArgument,
-                     "early refusal: the share {} in a burst is outside "
-                     "[{}, 1]",
+                     "early refusal: share {} of the maximum wait in a burst "
+                     "is outside [{}, 1]",
                      aOptions.shareInBurst,
                      aOptions.shareOfMaxWait);
   }
-  if (aOptions.keepsUpWith < 1) {
+  if (aOptions.maxArrivalsPerStart < 1) {
     return MakeError(absl::StatusCode::kInvalidArgument,
-                     "early refusal: {} newcomers for each start are below 1",
-                     aOptions.keepsUpWith);
+                     "early refusal: {} arrivals per start is below 1",
+                     aOptions.maxArrivalsPerStart);
   }
   return EarlyRefusal(aOptions);
 }
 
 double
-EarlyRefusal::OfferedRate(const AbstractRequestQueue& aQueue,
-                          const ClassName& aClass,
-                          Duration aMemory,
-                          TimePoint aNow)
+EarlyRefusal::CountArrival(const AbstractRequestQueue& aQueue,
+                           const ClassName& aClass,
+                           Duration aTimeConstant,
+                           TimePoint aNow)
 {
-  if (this->offered.size() >= kMaxClasses) {
-    this->offered.clear();
+  if (this->arrivals.size() >= kMaxClasses) {
+    this->arrivals.clear();
   }
-  Offered& known = this->offered[aClass];
-  const double memory = SecondsOf(aMemory);
-  const std::size_t waiting = aQueue.SizeOfClass(aClass);
-  // Those that were let in without being asked about have made it longer.
-  const std::size_t came =
-    std::max<std::size_t>(1, waiting - std::min(waiting, known.waiting));
-  known.count =
-    known.count * std::exp(-SecondsOf(Between(known.at, aNow)) / memory) +
-    static_cast<double>(came);
-  known.at = aNow;
-  known.waiting = waiting;
-  return known.count / memory;
+  ArrivalCount& arrived = this->arrivals[aClass];
+  const double timeConstant = SecondsOf(aTimeConstant);
+  const std::size_t queueLength = aQueue.SizeOfClass(aClass);
+  // Requests that were queued without a call of Refuses lengthen the queue;
+  // count them too.
+  const std::size_t newArrivals = std::max<std::size_t>(
+    1, queueLength - std::min(queueLength, arrived.queueLength));
+  arrived.count =
+    arrived.count *
+      std::exp(-SecondsOf(Between(arrived.at, aNow)) / timeConstant) +
+    static_cast<double>(newArrivals);
+  arrived.at = aNow;
+  arrived.queueLength = queueLength;
+  return arrived.count / timeConstant;
 }
 
 bool
 EarlyRefusal::Refuses(const AbstractRequestQueue& aQueue,
                       const WaitEstimator& aStarts,
-                      const QueuedRequest& aNewcomer,
+                      const QueuedRequest& aArrival,
                       Duration aRemaining,
                       TimePoint aNow)
 {
-  // Newcomers that still can meet their target go before the late ones of their
-  // class. While those are beyond the bound, each newcomer let in would keep
-  // them waiting longer.
-  if (aQueue.OldestWait(aNewcomer.className, aNow) > aNewcomer.maxWait) {
+  // Requests that can still meet their target start before the late ones of
+  // their class. While a late one is beyond the bound, each admitted request
+  // would delay it further.
+  if (aQueue.OldestWait(aArrival.className, aNow) > aArrival.maxWait) {
     return true;
   }
-  const double rate =
-    this->OfferedRate(aQueue, aNewcomer.className, aStarts.Memory(), aNow);
-  const bool keepsUp = rate <= this->options.keepsUpWith *
-                                 aStarts.StartRateOf(aNewcomer.className, aNow);
+  const double rate = this->CountArrival(
+    aQueue, aArrival.className, aStarts.TimeConstant(), aNow);
+  const bool keepsUp = rate <= this->options.maxArrivalsPerStart *
+                                 aStarts.StartRateOf(aArrival.className, aNow);
   const double share =
     keepsUp ? this->options.shareInBurst : this->options.shareOfMaxWait;
   const double longest =
-    std::min(share * SecondsOf(aNewcomer.maxWait), SecondsOf(aRemaining));
-  return EstimatedWait(aQueue, aStarts, aNewcomer, aNow) > longest;
+    std::min(share * SecondsOf(aArrival.maxWait), SecondsOf(aRemaining));
+  return EstimatedWait(aQueue, aStarts, aArrival, aNow) > longest;
 }
 
 } // namespace dogwoodvale
--- a/dogwoodvale/src/Scheduling/EarlyRefusal.h
+++ b/dogwoodvale/src/Scheduling/EarlyRefusal.h
@@ -7,42 +7,43 @@
 
 namespace dogwoodvale {
 
-/// Refuses at once what the server could not start in good time, so that the
-/// caller (or the entry) goes elsewhere or comes back later, rather than learn
-/// the same after a wait.
+/// Admission control: refuses a request on arrival when the server is not
+/// expected to start it in time, so that the caller (or the entry) can try
+/// another server or retry later instead of waiting for a time-out.
 ///
-/// A class that gets more newcomers than the server starts has a queue that
-/// stands: they are refused before the late ones of the class have waited
-/// beyond its bound. Otherwise the queue is a burst's, which the server works
-/// off by itself, and a longer wait is allowed.
+/// A class whose arrival rate exceeds its start rate has a standing queue. Its
+/// arrivals are refused early, before the late requests of the class have
+/// waited beyond its bound. Otherwise the queue comes from a burst, which the
+/// server drains without refusals, and a longer wait is allowed.
 class EarlyRefusal
 {
 public:
   struct Options
   {
-    /// Longest expected wait at admission, as a share of the class's bound;
-    /// above 0, at most 1. Below 1 since those that become late wait for longer
-    /// than what is expected at their arrival.
+    /// Maximum expected wait at admission, as a fraction of the class's
+    /// maxWait; in (0, 1]. The default is below 1 as requests that become late
+    /// wait longer than was expected on their arrival.
     double shareOfMaxWait = 0.25;
-    /// The same while the server keeps up; at least shareOfMaxWait, at most 1.
+    /// The same while the server keeps up; in [shareOfMaxWait, 1].
     double shareInBurst = 0.5;
-    /// The server keeps up with at most so many newcomers for each start; at
-    /// least 1.
-    double keepsUpWith = 1.25;
+    /// The server keeps up while the arrival rate of the class is at most this
+    /// multiple of its start rate; at least 1.
+    double maxArrivalsPerStart = 1.25;
   };
 
   /// \return InvalidArgument when an option is out of its range.
   static absl::StatusOr<EarlyRefusal> Create(const Options& aOptions);
 
-  /// Whether \p aNewcomer should be refused: its class is beyond its bound
-  /// already, or its expected wait exceeds its share of the bound or the
-  /// caller's remaining time. Depends on its own class and on its own and
-  /// higher tiers only; never true for a class with nothing waiting.
+  /// Whether \p aArrival should be refused: a request of its class already
+  /// waits beyond the bound, or its expected wait exceeds the allowed share of
+  /// the bound or the caller's remaining time. Depends only on its class and on
+  /// its own and higher tiers; never true for a class with an empty queue. Also
+  /// counts the arrival, so call it once per arriving request.
   ///
-  /// \param aRemaining what is left of the caller's deadline
+  /// \param aRemaining time left until the caller's deadline
   bool Refuses(const AbstractRequestQueue& aQueue,
                const WaitEstimator& aStarts,
-               const QueuedRequest& aNewcomer,
+               const QueuedRequest& aArrival,
                Duration aRemaining,
                TimePoint aNow);
 
@@ -52,23 +53,25 @@
   {
   }
 
-  /// Newcomers of a class, also those that were refused; older ones fade.
-  struct Offered
+  /// Exponentially decayed count of the arrivals of a class, including refused
+  /// ones.
+  struct ArrivalCount
   {
     double count = 0;
+    /// Time of the last arrival.
     TimePoint at{};
-    /// Of the class, when the last of them came.
-    std::size_t waiting = 0;
+    /// Queue length of the class at that time.
+    std::size_t queueLength = 0;
   };
 
-  /// Newcomers of the class a second, this one included.
-  double OfferedRate(const AbstractRequestQueue& aQueue,
-                     const ClassName& aClass,
-                     Duration aMemory,
-                     TimePoint aNow);
+  /// Counts one arrival; returns the arrival rate of the class per second.
+  double CountArrival(const AbstractRequestQueue& aQueue,
+                      const ClassName& aClass,
+                      Duration aTimeConstant,
+                      TimePoint aNow);
 
   Options options;
-  absl::flat_hash_map<ClassName, Offered> offered;
+  absl::flat_hash_map<ClassName, ArrivalCount> arrivals;
 };
 
 } // namespace dogwoodvale
--- a/dogwoodvale/src/Scheduling/FairOrder.cpp
+++ b/dogwoodvale/src/Scheduling/FairOrder.cpp
@@ -7,9 +7,9 @@
 void
 FairOrder::Activate(FairMember& aMember, SlabIndex aIndex)
 {
-  const double least =
+  const double smallest =
     this->active.empty() ? this->floor : this->active.begin()->first;
-  aMember.counter = std::max(aMember.counter, least);
+  aMember.counter = std::max(aMember.counter, smallest);
   aMember.active = true;
   this->active.emplace(aMember.counter, aIndex);
 }
--- a/dogwoodvale/src/Scheduling/FairOrder.h
+++ b/dogwoodvale/src/Scheduling/FairOrder.h
@@ -9,41 +9,44 @@
 
 namespace dogwoodvale::internal {
 
-/// What one member of a FairOrder has been served.
+/// State of one member (class or customer) of a FairOrder.
 struct FairMember
 {
-  /// Tokens served over weight: its virtual token counter.
+  /// Virtual token counter: tokens served divided by weight.
   double counter = 0;
   double weight = 1;
+  /// Whether the member has queued requests.
   bool active = false;
 };
 
-/// Picks the member that has had the fewest tokens for its weight among those
-/// with something waiting (virtual token counter, VTC, OSDI 2024).
+/// Weighted fair order by tokens: selects the backlogged member with the
+/// smallest virtual token counter (VTC, OSDI 2024).
 class FairOrder
 {
 public:
-  /// The member has something waiting from now on.
+  /// Marks the member as backlogged.
   ///
-  /// Its counter is lifted to the least active one: else a member that was
-  /// away would come back with a claim to all it did not use, and shut the
-  /// others out until it had caught up.
+  /// Raises its counter to the smallest active one. Otherwise a member that was
+  /// idle would return with credit for the service it did not use, and would
+  /// starve the others until it had caught up.
   void Activate(FairMember& aMember, SlabIndex aIndex);
 
-  /// Nothing of the member waits any more.
+  /// Marks the member as having no queued requests.
   void Deactivate(FairMember& aMember, SlabIndex aIndex);
 
-  /// Adds \p aTokens, which may be negative, to what the member was served.
+  /// Adds \p aTokens, which may be negative, to the tokens served to the
+  /// member.
   void Charge(FairMember& aMember, SlabIndex aIndex, double aTokens);
 
   bool IsEmpty() const { return this->active.empty(); }
 
-  /// The member to serve next; only when not empty.
+  /// The member to serve next. Precondition: not empty.
   SlabIndex First() const { return this->active.begin()->second; }
 
 private:
   absl::btree_set<std::pair<double, SlabIndex>> active;
-  /// Counter of the last member to leave; the lift when none is active.
+  /// Counter of the member deactivated last; lower bound for the next
+  /// activation when no member is active.
   double floor = 0;
 };
 
--- a/dogwoodvale/src/Scheduling/FifoQueue.h
+++ b/dogwoodvale/src/Scheduling/FifoQueue.h
@@ -5,12 +5,12 @@
 
 namespace dogwoodvale {
 
-/// Order of arrival; knows no tiers and refuses newcomers when full. A
-/// baseline for measurements.
+/// Queue in order of arrival, without tiers; refuses new requests when full. A
+/// baseline for benchmarks.
 class FifoQueue : public internal::OrderedQueue
 {
 public:
-  /// \return InvalidArgument when a bound is zero.
+  /// \return InvalidArgument when CheckBounds rejects the bounds.
   static absl::StatusOr<FifoQueue> Create(const QueueBounds& aBounds);
 
 protected:
--- a/dogwoodvale/src/Scheduling/FixedConcurrencyLimit.cpp
+++ b/dogwoodvale/src/Scheduling/FixedConcurrencyLimit.cpp
@@ -7,7 +7,7 @@
 {
   if (aLimit == 0) {
     return MakeError(absl::StatusCode::kInvalidArgument,
-                     "a concurrency limit is at least 1");
+                     "the concurrency limit must be at least 1");
   }
   return FixedConcurrencyLimit(aLimit);
 }
--- a/dogwoodvale/src/Scheduling/FixedConcurrencyLimit.h
+++ b/dogwoodvale/src/Scheduling/FixedConcurrencyLimit.h
@@ -5,7 +5,7 @@
 
 namespace dogwoodvale {
 
-/// A limit set by the operator; learns nothing.
+/// A constant limit, set by the operator.
 class FixedConcurrencyLimit : public ConcurrencyLimit
 {
 public:
--- a/dogwoodvale/src/Scheduling/FlowTable.cpp
+++ b/dogwoodvale/src/Scheduling/FlowTable.cpp
@@ -6,8 +6,9 @@
 
 namespace {
 
-/// To shed what it was charged, a customer would have to stay away until this
-/// many others had left after it.
+/// Maximum number of idle flows kept. A customer can lose its accumulated
+/// charge only by staying idle until this many other flows have become idle
+/// after it.
 constexpr std::size_t kMaxIdleFlows = 4096;
 
 double
@@ -25,17 +26,17 @@
 }
 
 SlabIndex
-FlowTable::Provide(const QueuedRequest& aRequest)
+FlowTable::FindOrCreate(const QueuedRequest& aRequest)
 {
-  const SlabIndex classIndex = this->ProvideClass(aRequest);
-  auto& owned = this->classes.At(classIndex).flows;
-  auto found = owned.find(aRequest.customer);
-  if (found == owned.end()) {
+  const SlabIndex classIndex = this->FindOrCreateClass(aRequest);
+  auto& classFlows = this->classes.At(classIndex).flows;
+  auto found = classFlows.find(aRequest.customer);
+  if (found == classFlows.end()) {
     Flow flow;
     flow.customer = aRequest.customer;
     flow.classIndex = classIndex;
     const SlabIndex index = this->flows.Add(std::move(flow));
-    found = owned.emplace(aRequest.customer, index).first;
+    found = classFlows.emplace(aRequest.customer, index).first;
   }
   this->flows.At(found->second).fair.weight =
     PositiveOrOne(aRequest.customerWeight);
@@ -50,7 +51,7 @@
   this->VisitClass(aClass, [&](const ClassState& aState) {
     const auto found = aState.flows.find(aCustomer);
     if (found != aState.flows.end() &&
-        !this->flows.At(found->second).charged.empty()) {
+        !this->flows.At(found->second).outstandingCharges.empty()) {
       running = found->second;
     }
   });
@@ -58,57 +59,57 @@
 }
 
 void
-FlowTable::RefreshIdle(SlabIndex aFlow)
+FlowTable::UpdateIdle(SlabIndex aFlow)
 {
   Flow& flow = this->flows.At(aFlow);
-  if (flow.IsIdle() == (flow.idleSince != 0)) {
+  if (flow.IsIdle() == (flow.idleSequence != 0)) {
     return;
   }
-  if (flow.idleSince != 0) {
-    this->idle.erase({ flow.idleSince, aFlow });
-    flow.idleSince = 0;
+  if (flow.idleSequence != 0) {
+    this->idle.erase({ flow.idleSequence, aFlow });
+    flow.idleSequence = 0;
     return;
   }
-  flow.idleSince = ++this->idleCount;
-  this->idle.emplace(flow.idleSince, aFlow);
+  flow.idleSequence = ++this->lastIdleSequence;
+  this->idle.emplace(flow.idleSequence, aFlow);
   if (this->idle.size() > kMaxIdleFlows) {
-    this->ForgetLongestIdle();
+    this->EvictLongestIdle();
   }
 }
 
 SlabIndex
-FlowTable::ProvideClass(const QueuedRequest& aRequest)
+FlowTable::FindOrCreateClass(const QueuedRequest& aRequest)
 {
   const Tier tier = TierOf(aRequest);
-  auto& place = this->places[aRequest.className].at(tier);
-  if (!place) {
+  auto& index = this->classIndices[aRequest.className].at(tier);
+  if (!index) {
     ClassState state;
     state.name = aRequest.className;
     state.tier = tier;
-    place = this->classes.Add(std::move(state));
+    index = this->classes.Add(std::move(state));
   }
-  this->classes.At(*place).fair.weight = PositiveOrOne(aRequest.classWeight);
-  return *place;
+  this->classes.At(*index).fair.weight = PositiveOrOne(aRequest.classWeight);
+  return *index;
 }
 
 void
-FlowTable::ForgetLongestIdle()
+FlowTable::EvictLongestIdle()
 {
   const SlabIndex index = this->idle.begin()->second;
   this->idle.erase(this->idle.begin());
   const Flow flow = this->flows.Take(index);
-  ClassState& owner = this->classes.At(flow.classIndex);
-  owner.flows.erase(flow.customer);
-  if (!owner.flows.empty()) {
+  ClassState& classState = this->classes.At(flow.classIndex);
+  classState.flows.erase(flow.customer);
+  if (!classState.flows.empty()) {
     return;
   }
-  const ClassState gone = this->classes.Take(flow.classIndex);
-  const auto found = this->places.find(gone.name);
-  found->second.at(gone.tier).reset();
+  const ClassState removed = this->classes.Take(flow.classIndex);
+  const auto found = this->classIndices.find(removed.name);
+  found->second.at(removed.tier).reset();
   if (std::none_of(found->second.begin(),
                    found->second.end(),
-                   [](const auto& aPlace) { return aPlace.has_value(); })) {
-    this->places.erase(found);
+                   [](const auto& aIndex) { return aIndex.has_value(); })) {
+    this->classIndices.erase(found);
   }
 }
 
--- a/dogwoodvale/src/Scheduling/FlowTable.h
+++ b/dogwoodvale/src/Scheduling/FlowTable.h
@@ -10,7 +10,7 @@
 #include <absl/container/btree_set.h>
 #include <absl/container/flat_hash_map.h>
 
-#include "CustomerLine.h"
+#include "CustomerQueue.h"
 #include "FairOrder.h"
 #include "OverdueRotation.h"
 #include "QueuedRequest.h"
@@ -18,26 +18,29 @@
 
 namespace dogwoodvale::internal {
 
-/// One customer within one class.
+/// State of one customer within one class and tier.
 struct Flow
 {
   CustomerName customer;
   SlabIndex classIndex = 0;
   FairMember fair;
   RotationMember rotation;
-  CustomerLine line;
-  /// Memory held by those that wait.
+  CustomerQueue queue;
+  /// Sum of QueuedRequest::bytes over the queue.
   std::uint64_t bytes = 0;
-  /// Output tokens charged for each start that has not finished.
-  std::deque<double> charged;
-  /// When it last became idle; 0 while it is not.
-  std::uint64_t idleSince = 0;
+  /// Output tokens charged for each unfinished start, oldest first.
+  std::deque<double> outstandingCharges;
+  /// Sequence number of the transition to idle; 0 while not idle.
+  std::uint64_t idleSequence = 0;
 
-  /// Nothing waits and nothing runs.
-  bool IsIdle() const { return this->line.IsEmpty() && this->charged.empty(); }
+  /// Whether the flow has neither queued nor running requests.
+  bool IsIdle() const
+  {
+    return this->queue.IsEmpty() && this->outstandingCharges.empty();
+  }
 };
 
-/// One class within one tier.
+/// State of one class within one tier.
 struct ClassState
 {
   ClassName name;
@@ -47,25 +50,25 @@
   RotationMember rotation;
   OverdueRotation overdueCustomers;
   absl::flat_hash_map<CustomerName, SlabIndex> flows;
-  /// How many of it wait, and the memory they hold.
+  /// Number of queued requests of the class, and the memory they hold.
   std::size_t size = 0;
   std::uint64_t bytes = 0;
 };
 
-/// The tier of \p aRequest, those out of range taken as the lowest.
+/// The tier of \p aRequest, clamped to the lowest tier.
 Tier
 TierOf(const QueuedRequest& aRequest);
 
-/// Finds the state of classes and customers by name.
+/// State of classes and of flows (a customer within a class), by name.
 ///
-/// Customers with nothing waiting or running are kept for their counters, up
-/// to a number; beyond it the longest idle are forgotten.
+/// Idle flows are kept for their fairness counters, up to a fixed number;
+/// beyond it the longest idle flow is evicted.
 class FlowTable
 {
 public:
-  /// The customer's flow in its class and tier, made if there is none yet.
-  /// Weights are those of the latest request.
-  SlabIndex Provide(const QueuedRequest& aRequest);
+  /// The flow of the request's customer, class and tier, created if missing.
+  /// Sets the weights of class and customer to those of \p aRequest.
+  SlabIndex FindOrCreate(const QueuedRequest& aRequest);
 
   Flow& At(SlabIndex aFlow) { return this->flows.At(aFlow); }
   const Flow& At(SlabIndex aFlow) const { return this->flows.At(aFlow); }
@@ -75,43 +78,46 @@
     return this->classes.At(aClass);
   }
 
-  /// The states of one class: more than one tier has one only while the
-  /// class's configuration changes.
+  /// Calls \p aVisitor with each state of a class. A class has states in
+  /// several tiers only while its configuration changes.
   template<class Visitor>
   void VisitClass(const ClassName& aClass, Visitor&& aVisitor) const
   {
-    const auto found = this->places.find(aClass);
-    if (found == this->places.end()) {
+    const auto found = this->classIndices.find(aClass);
+    if (found == this->classIndices.end()) {
       return;
     }
-    for (const auto& place : found->second) {
-      if (place) {
-        aVisitor(this->classes.At(*place));
+    for (const auto& index : found->second) {
+      if (index) {
+        aVisitor(this->classes.At(*index));
       }
     }
   }
 
-  /// A flow of that name with a start that has not finished.
+  /// A flow of the class and customer that has an unfinished start; nullopt if
+  /// there is none.
   std::optional<SlabIndex> FindRunning(const ClassName& aClass,
                                        const CustomerName& aCustomer) const;
 
-  /// Call after anything that may make a flow idle or end that. May forget
-  /// another flow, or this one.
-  void RefreshIdle(SlabIndex aFlow);
+  /// Call after any change that may make a flow idle or active. May evict this
+  /// flow or another one, which invalidates its index.
+  void UpdateIdle(SlabIndex aFlow);
 
   std::size_t Size() const { return this->flows.Size(); }
 
 private:
-  SlabIndex ProvideClass(const QueuedRequest& aRequest);
-  void ForgetLongestIdle();
+  SlabIndex FindOrCreateClass(const QueuedRequest& aRequest);
+  void EvictLongestIdle();
 
   Slab<Flow> flows;
   Slab<ClassState> classes;
+  /// Per class, the index of its state in each tier.
   absl::flat_hash_map<ClassName,
                       std::array<std::optional<SlabIndex>, kTierCount>>
-    places;
+    classIndices;
+  /// Idle flows by Flow::idleSequence.
   absl::btree_set<std::pair<std::uint64_t, SlabIndex>> idle;
-  std::uint64_t idleCount = 0;
+  std::uint64_t lastIdleSequence = 0;
 };
 
 } // namespace dogwoodvale::internal
--- a/dogwoodvale/src/Scheduling/LengthEstimator.cpp
+++ b/dogwoodvale/src/Scheduling/LengthEstimator.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr double kUpperQuantile = 0.9;
-/// Step of the quantile's walk, as a share of the quantile itself.
+/// Step of the stochastic quantile estimate, as a fraction of the estimate.
 constexpr double kQuantileStep = 0.1;
 
 } // namespace
@@ -16,13 +16,13 @@
 LengthEstimator::Create(const Options& aOptions)
 {
   if (!(aOptions.prior > 0) || !(aOptions.priorWeight > 0) ||
-      !(aOptions.memory >= 1) || aOptions.capacity == 0) {
+      !(aOptions.maxWeight >= 1) || aOptions.capacity == 0) {
     return MakeError(absl::StatusCode::kInvalidArgument,
-                     "length estimator: prior {}, weight {}, memory {} and "
-                     "capacity {} must be positive",
+                     "length estimator: prior {} and its weight {} must be "
+                     "positive, maximum weight {} and capacity {} at least 1",
                      aOptions.prior,
                      aOptions.priorWeight,
-                     aOptions.memory,
+                     aOptions.maxWeight,
                      aOptions.capacity);
   }
   return LengthEstimator(aOptions);
@@ -34,10 +34,10 @@
                          std::uint64_t aTokens)
 {
   const auto tokens = static_cast<double>(aTokens);
-  this->Fold(this->StateOf({ aClass, aCustomer }).average, tokens);
+  this->Update(this->StateOf({ aClass, aCustomer }).average, tokens);
   if (this->classes.contains(aClass) ||
       this->classes.size() < this->options.capacity) {
-    this->Fold(this->classes[aClass], tokens);
+    this->Update(this->classes[aClass], tokens);
   }
 }
 
@@ -47,17 +47,17 @@
 {
   double mean = this->options.prior;
   const double weight = this->options.priorWeight;
-  const auto blend = [&](const Average& aAverage) {
+  const auto shrink = [&](const Average& aAverage) {
     mean = (mean * weight + aAverage.mean * aAverage.weight) /
            (weight + aAverage.weight);
   };
   if (const auto found = this->classes.find(aClass);
       found != this->classes.end()) {
-    blend(found->second);
+    shrink(found->second);
   }
   if (const auto found = this->pairs.find(Pair(aClass, aCustomer));
       found != this->pairs.end()) {
-    blend(found->second.average);
+    shrink(found->second.average);
   }
   return mean;
 }
@@ -71,12 +71,12 @@
 }
 
 void
-LengthEstimator::Fold(Average& aAverage, double aTokens) const
+LengthEstimator::Update(Average& aAverage, double aTokens) const
 {
   if (aAverage.weight == 0) {
     aAverage.quantile = 2 * this->options.prior;
   }
-  aAverage.weight = std::min(aAverage.weight + 1, this->options.memory);
+  aAverage.weight = std::min(aAverage.weight + 1, this->options.maxWeight);
   aAverage.mean += (aTokens - aAverage.mean) / aAverage.weight;
   const double step = kQuantileStep * std::max(aAverage.quantile, 1.0);
   aAverage.quantile += aTokens > aAverage.quantile
--- a/dogwoodvale/src/Scheduling/LengthEstimator.h
+++ b/dogwoodvale/src/Scheduling/LengthEstimator.h
@@ -12,45 +12,50 @@
 
 namespace dogwoodvale {
 
-/// Learns how many tokens an answer has, per class and customer, from answers
-/// that have finished. Falls back from customer to class to a prior.
+/// Estimates the number of tokens of an answer per class and customer from
+/// finished answers. Shrinks the customer's mean towards the class's mean, and
+/// that towards a prior, by the number of answers seen.
 ///
-/// Memory is bounded: the customers seen least recently are forgotten.
+/// Memory is bounded: the least recently observed (class, customer) pairs are
+/// evicted.
 class LengthEstimator
 {
 public:
   struct Options
   {
-    /// Expected tokens of an answer before any was seen; positive.
+    /// Expected tokens of an answer before the first observation; positive.
     double prior = 256;
-    /// How many answers the prior counts for; positive.
+    /// Weight of the prior, in answers; positive.
     double priorWeight = 4;
-    /// Answers over which older ones fade; at least 1.
-    double memory = 64;
-    /// Pairs of class and customer kept, and classes kept; at least 1.
+    /// Maximum weight of an average, in answers: above it, older answers decay
+    /// exponentially. At least 1.
+    double maxWeight = 64;
+    /// Maximum number of (class, customer) pairs, and of classes; at least 1.
     std::size_t capacity = 4096;
   };
 
   /// \return InvalidArgument when an option is out of its range.
   static absl::StatusOr<LengthEstimator> Create(const Options& aOptions);
 
-  /// Learns that one answer had \p aTokens.
+  /// Records a finished answer of \p aTokens.
   void Observe(const ClassName& aClass,
                const CustomerName& aCustomer,
                std::uint64_t aTokens);
 
-  /// Expected tokens of an answer; its mean, since the mean keeps fairness
-  /// by tokens unbiased.
+  /// Expected number of tokens of an answer. The mean rather than a quantile,
+  /// as charging the mean keeps fairness by tokens unbiased.
   double Mean(const ClassName& aClass, const CustomerName& aCustomer) const;
 
-  /// A length that about nine answers in ten of the class stay under.
+  /// Estimate of the 0.9 quantile of the answer length of the class, in tokens;
+  /// twice the prior for an unknown class.
   double UpperQuantile(const ClassName& aClass) const;
 
-  /// Pairs of class and customer that are remembered.
+  /// Number of (class, customer) pairs kept.
   std::size_t Size() const { return this->pairs.size(); }
 
 private:
   using Pair = std::pair<ClassName, CustomerName>;
+  /// Moving mean, its weight in answers, and a running quantile.
   struct Average
   {
     double mean = 0;
@@ -67,12 +72,12 @@
     : options(aOptions)
   {
   }
-  void Fold(Average& aAverage, double aTokens) const;
+  void Update(Average& aAverage, double aTokens) const;
   PairState& StateOf(const Pair& aPair);
 
   Options options;
   absl::flat_hash_map<Pair, PairState> pairs;
-  /// Most recently seen first.
+  /// Most recently observed first.
   std::list<Pair> recency;
   absl::flat_hash_map<ClassName, Average> classes;
 };
--- a/dogwoodvale/src/Scheduling/OrderedQueue.cpp
+++ b/dogwoodvale/src/Scheduling/OrderedQueue.cpp
@@ -7,57 +7,57 @@
 EnqueueResult
 OrderedQueue::Enqueue(const QueuedRequest& aRequest, TimePoint)
 {
-  if (this->places.contains(aRequest.id)) {
+  if (this->keys.contains(aRequest.id)) {
     return { EnqueueVerdict::RefusedClassBound, {} };
   }
   const std::int64_t rank = this->RankOf(aRequest);
-  std::uint64_t freed = 0;
-  std::vector<Line::iterator> victims;
-  for (auto last = this->line.end();
-       this->bytes + aRequest.bytes - freed > this->bounds.bytes ||
-       this->line.size() + 1 - victims.size() > this->bounds.requests;) {
-    if (last == this->line.begin() || std::prev(last)->first.rank <= rank) {
+  std::uint64_t freedBytes = 0;
+  std::vector<Requests::iterator> victims;
+  for (auto last = this->requests.end();
+       this->bytes + aRequest.bytes - freedBytes > this->bounds.bytes ||
+       this->requests.size() + 1 - victims.size() > this->bounds.requests;) {
+    if (last == this->requests.begin() || std::prev(last)->first.rank <= rank) {
       return { EnqueueVerdict::RefusedMemory, {} };
     }
     --last;
-    freed += last->second.bytes;
+    freedBytes += last->second.bytes;
     victims.push_back(last);
   }
   EnqueueResult result;
   for (const auto victim : victims) {
     result.evicted.push_back(this->Take(victim).id);
   }
-  const Key key{ rank, this->arrivals++ };
-  this->places.emplace(aRequest.id, key);
-  this->line.emplace(key, aRequest);
+  const Key key{ rank, this->nextSequence++ };
+  this->keys.emplace(aRequest.id, key);
+  this->requests.emplace(key, aRequest);
   this->bytes += aRequest.bytes;
-  ++this->sizes.at(aRequest.tier);
+  ++this->sizeByTier.at(aRequest.tier);
   return result;
 }
 
 std::optional<QueuedRequest>
 OrderedQueue::Dequeue(TimePoint)
 {
-  if (this->line.empty()) {
+  if (this->requests.empty()) {
     return std::nullopt;
   }
-  return this->Take(this->line.begin());
+  return this->Take(this->requests.begin());
 }
 
 const QueuedRequest*
 OrderedQueue::Peek(TimePoint)
 {
-  return this->line.empty() ? nullptr : &this->line.begin()->second;
+  return this->requests.empty() ? nullptr : &this->requests.begin()->second;
 }
 
 bool
 OrderedQueue::Remove(const RequestId& aId)
 {
-  const auto place = this->places.find(aId);
-  if (place == this->places.end()) {
+  const auto found = this->keys.find(aId);
+  if (found == this->keys.end()) {
     return false;
   }
-  this->Take(this->line.find(place->second));
+  this->Take(this->requests.find(found->second));
   return true;
 }
 
@@ -70,7 +70,7 @@
 OrderedQueue::SizeOfClass(const ClassName& aClass) const
 {
   return static_cast<std::size_t>(std::count_if(
-    this->line.begin(), this->line.end(), [&](const auto& aEntry) {
+    this->requests.begin(), this->requests.end(), [&](const auto& aEntry) {
       return aEntry.second.className == aClass;
     }));
 }
@@ -80,7 +80,7 @@
 {
   std::size_t size = 0;
   for (std::size_t tier = 0; tier <= aTier && tier < kTierCount; ++tier) {
-    size += this->sizes.at(tier);
+    size += this->sizeByTier.at(tier);
   }
   return size;
 }
@@ -89,7 +89,7 @@
 OrderedQueue::OldestWait(const ClassName& aClass, TimePoint aNow) const
 {
   Duration oldest{ 0 };
-  for (const auto& [key, request] : this->line) {
+  for (const auto& [key, request] : this->requests) {
     if (request.className == aClass) {
       oldest = std::max(oldest, Between(request.enqueued, aNow));
     }
@@ -101,25 +101,25 @@
 OrderedQueue::DrainAll()
 {
   std::vector<RequestId> drained;
-  drained.reserve(this->line.size());
-  for (const auto& [key, request] : this->line) {
+  drained.reserve(this->requests.size());
+  for (const auto& [key, request] : this->requests) {
     drained.push_back(request.id);
   }
-  this->line.clear();
-  this->places.clear();
-  this->sizes = {};
+  this->requests.clear();
+  this->keys.clear();
+  this->sizeByTier = {};
   this->bytes = 0;
   return drained;
 }
 
 QueuedRequest
-OrderedQueue::Take(Line::iterator aPlace)
+OrderedQueue::Take(Requests::iterator aPosition)
 {
-  QueuedRequest taken = std::move(aPlace->second);
-  this->line.erase(aPlace);
-  this->places.erase(taken.id);
+  QueuedRequest taken = std::move(aPosition->second);
+  this->requests.erase(aPosition);
+  this->keys.erase(taken.id);
   this->bytes -= taken.bytes;
-  --this->sizes.at(taken.tier);
+  --this->sizeByTier.at(taken.tier);
   return taken;
 }
 
--- a/dogwoodvale/src/Scheduling/OrderedQueue.h
+++ b/dogwoodvale/src/Scheduling/OrderedQueue.h
@@ -11,8 +11,8 @@
 
 namespace dogwoodvale::internal {
 
-/// One line of requests in order of rank, then arrival. The base of the
-/// simple policies that RequestQueue is measured against.
+/// Requests in order of rank, then arrival. Base class of the baseline queues
+/// that benchmarks compare RequestQueue with.
 class OrderedQueue : public AbstractRequestQueue
 {
 public:
@@ -23,7 +23,7 @@
   void OnFinished(const ClassName& aClass,
                   const CustomerName& aCustomer,
                   std::uint64_t aTokensGenerated) override;
-  std::size_t Size() const override { return this->line.size(); }
+  std::size_t Size() const override { return this->requests.size(); }
   std::uint64_t Bytes() const override { return this->bytes; }
   std::size_t SizeOfClass(const ClassName& aClass) const override;
   std::size_t SizeAtOrAbove(Tier aTier) const override;
@@ -36,7 +36,7 @@
   {
   }
 
-  /// Smaller ranks leave first, larger ranks are evicted first.
+  /// Smaller ranks are dequeued first, larger ranks are evicted first.
   virtual std::int64_t RankOf(const QueuedRequest& aRequest) const = 0;
 
 private:
@@ -51,16 +51,16 @@
                                        : this->sequence < aOther.sequence;
     }
   };
-  using Line = std::map<Key, QueuedRequest>;
+  using Requests = std::map<Key, QueuedRequest>;
 
-  QueuedRequest Take(Line::iterator aPlace);
+  QueuedRequest Take(Requests::iterator aPosition);
 
   QueueBounds bounds;
-  Line line;
-  absl::flat_hash_map<RequestId, Key> places;
-  std::array<std::size_t, kTierCount> sizes{};
+  Requests requests;
+  absl::flat_hash_map<RequestId, Key> keys;
+  std::array<std::size_t, kTierCount> sizeByTier{};
   std::uint64_t bytes = 0;
-  std::uint64_t arrivals = 0;
+  std::uint64_t nextSequence = 0;
 };
 
 } // namespace dogwoodvale::internal
--- a/dogwoodvale/src/Scheduling/PreemptionPolicy.cpp
+++ b/dogwoodvale/src/Scheduling/PreemptionPolicy.cpp
@@ -21,14 +21,14 @@
                              Duration aWait,
                              TimePoint aNow) const
 {
-  // A head that meets its target by waiting gains nothing that is measured; the
-  // victim's second prefill would be waste.
+  // A head that meets its target by waiting gains nothing that counts for the
+  // service level, and the victim's second prefill would be wasted.
   if (aNow + aWait + aHead.expectedFirstToken <= aHead.target) {
     return std::nullopt;
   }
   const RunningRequest* victim = nullptr;
   for (const RunningRequest& running : aRunning) {
-    if (!this->MayGiveWay(running, aHead) ||
+    if (!this->IsPreemptible(running, aHead) ||
         static_cast<double>(this->CostOf(running).count()) *
             this->options.margin >=
           static_cast<double>(aWait.count())) {
@@ -53,11 +53,11 @@
 }
 
 bool
-PreemptionPolicy::MayGiveWay(const RunningRequest& aRequest,
-                             const QueuedRequest& aHead) const
+PreemptionPolicy::IsPreemptible(const RunningRequest& aRequest,
+                                const QueuedRequest& aHead) const
 {
-  // A request that got its slot by the overdue rule is left alone: taking the
-  // slot back would make the bound on its class's wait worthless.
+  // A request that got its slot by the overdue rule is never preempted:
+  // otherwise the bound on the waiting time of its class would not hold.
   return aRequest.tier > aHead.tier && aRequest.idempotent &&
          !aRequest.startedOverdue &&
          aRequest.preemptions < this->options.maxPreemptions;
--- a/dogwoodvale/src/Scheduling/PreemptionPolicy.h
+++ b/dogwoodvale/src/Scheduling/PreemptionPolicy.h
@@ -9,61 +9,65 @@
 
 namespace dogwoodvale {
 
-/// A request that runs on the backend server.
+/// A request that is running on the backend server.
 struct RunningRequest
 {
   RequestId id;
   Tier tier = 0;
   bool idempotent = false;
   std::uint32_t promptTokens = 0;
+  /// Tokens generated so far; prefilled again on resumption.
   std::uint32_t tokensDone = 0;
   TimePoint started;
-  /// Times it was preempted before.
+  /// Number of earlier preemptions.
   std::uint32_t preemptions = 0;
-  /// QueuedRequest::startedOverdue of its start.
+  /// Copy of QueuedRequest::startedOverdue.
   bool startedOverdue = false;
 };
 
-/// What preempting costs on the server at hand.
+/// Cost of a preemption on a given server.
 struct PreemptionCosts
 {
-  /// Time to prefill one token when resuming; often less than the first time,
-  /// as the prefix may still be cached.
+  /// Time to prefill one token when the request resumes; often less than at its
+  /// first start, as the server may still have the prefix cached.
   Duration prefillPerToken{ 0 };
-  /// Fixed loss: cancelling, the freed slot's step, starting again.
+  /// Fixed cost: cancellation, the step until the slot is reused, and the new
+  /// start.
   Duration overhead{ 0 };
 };
 
-/// Picks a running request to give way to the head of the queue.
+/// Selects a running request to preempt in favour of the head of the queue.
 ///
-/// Only for a higher tier, only an idempotent one, only when the head would
-/// otherwise miss its target, and only when resuming costs less than the wait
-/// that the head is saved.
+/// The head must be of a higher tier and would otherwise miss its target. The
+/// victim must be idempotent, and resuming it must cost less than the wait that
+/// the head is saved.
 class PreemptionPolicy
 {
 public:
   struct Options
   {
     PreemptionCosts costs;
-    /// A request gives way at most this often, so that it makes progress.
+    /// Maximum preemptions of one request, so that it makes progress.
     std::uint32_t maxPreemptions = 2;
-    /// Wait saved must exceed cost by this factor; at least 1.
+    /// The wait saved must exceed the cost times this factor; at least 1.
     double margin = 1.5;
   };
 
   /// \return InvalidArgument when a cost is negative or the margin below 1.
   static absl::StatusOr<PreemptionPolicy> Create(const Options& aOptions);
 
-  /// \param aRunning what runs now, in any order
+  /// \param aRunning the running requests, in any order
   /// \param aHead the request that Dequeue would return next
-  /// \param aWait how long the head would wait for a slot to come free
-  /// \return the one to cancel and enqueue again as resumed, or nothing
+  /// \param aWait expected wait of the head for a free slot
+  /// \return the request to cancel and enqueue again as resumed; nullopt if
+  /// none should be preempted. Among the candidates, the cheapest of the lowest
+  /// tier.
   std::optional<RequestId> PickVictim(std::span<const RunningRequest> aRunning,
                                       const QueuedRequest& aHead,
                                       Duration aWait,
                                       TimePoint aNow) const;
 
-  /// Time lost when \p aRequest is preempted and resumed.
+  /// Server time lost when \p aRequest is preempted and resumed.
   Duration CostOf(const RunningRequest& aRequest) const;
 
 private:
@@ -71,8 +75,8 @@
     : options(aOptions)
   {
   }
-  bool MayGiveWay(const RunningRequest& aRequest,
-                  const QueuedRequest& aHead) const;
+  bool IsPreemptible(const RunningRequest& aRequest,
+                     const QueuedRequest& aHead) const;
 
   Options options;
 };
--- a/dogwoodvale/src/Scheduling/QueuePolicy.cpp
+++ b/dogwoodvale/src/Scheduling/QueuePolicy.cpp
@@ -57,7 +57,8 @@
 {
   if (aBounds.bytes == 0 || aBounds.requests == 0) {
     return MakeError(absl::StatusCode::kInvalidArgument,
-                     "a queue needs room for at least one request");
+                     "the queue's limits on bytes and requests must be "
+                     "positive");
   }
   if (!(aBounds.overdueShare > 0 && aBounds.overdueShare <= 1)) {
     return MakeError(absl::StatusCode::kInvalidArgument,
--- a/dogwoodvale/src/Scheduling/QueuePolicy.h
+++ b/dogwoodvale/src/Scheduling/QueuePolicy.h
@@ -9,12 +9,12 @@
 
 namespace dogwoodvale {
 
-/// The orders a sidecar can be set to.
+/// The queue implementations that a sidecar can be configured to use.
 enum class QueuePolicy : std::uint8_t
 {
-  Tiered, ///< RequestQueue, the one to run
-  Fifo,   ///< FifoQueue, for comparison
-  Strict, ///< StrictPriorityQueue, for comparison
+  Tiered, ///< RequestQueue, for production
+  Fifo,   ///< FifoQueue, a baseline for benchmarks
+  Strict, ///< StrictPriorityQueue, a baseline for benchmarks
 };
 
 /// Parses "tiered", "fifo" or "strict".
@@ -23,13 +23,16 @@
 absl::StatusOr<QueuePolicy>
 ParseQueuePolicy(std::string_view aText);
 
-/// Makes the queue of a policy.
+/// Creates the queue of a policy.
 ///
-/// \return InvalidArgument when the bounds are unusable.
+/// \return InvalidArgument when CheckBounds rejects the bounds.
 absl::StatusOr<std::unique_ptr<AbstractRequestQueue>>
 CreateQueue(QueuePolicy aPolicy, const QueueBounds& aBounds);
 
-/// InvalidArgument when a bound is zero or the share is outside (0, 1].
+/// Validates the limits of a queue.
+///
+/// \return InvalidArgument when a limit is zero or overdueShare is outside
+/// (0, 1].
 absl::Status
 CheckBounds(const QueueBounds& aBounds);
 
--- a/dogwoodvale/src/Scheduling/RequestQueue.cpp
+++ b/dogwoodvale/src/Scheduling/RequestQueue.cpp
@@ -9,35 +9,39 @@
 
 using internal::ClassState;
 using internal::Flow;
-using internal::Held;
 using internal::OverdueRotation;
+using internal::QueueUsage;
 using internal::SlabIndex;
 
 namespace {
 
-constexpr std::int64_t kWholeStart = 1000000;
+/// Overdue credit for one start, in millionths of a start.
+constexpr std::int64_t kCreditOfOneStart = 1000000;
 
-/// Whether one who holds \p aHeld may take \p aMore of the \p aLeft that are
-/// free. \sa RequestQueue::kSharingFactor
+/// Whether a holder of \p aUsed units may take \p aRequested more when
+/// \p aFree are free. \sa RequestQueue::kSharingFactor
 bool
-IsWithinShare(std::uint64_t aHeld, std::uint64_t aMore, std::uint64_t aLeft)
+IsWithinShare(std::uint64_t aUsed,
+              std::uint64_t aRequested,
+              std::uint64_t aFree)
 {
-  return aHeld + aMore <= RequestQueue::kSharingFactor * aLeft;
+  return aUsed + aRequested <= RequestQueue::kSharingFactor * aFree;
 }
 
-/// Whether class and customer each stay within their share of one resource.
+/// Whether class and customer each stay within their share of one resource
+/// (requests or bytes) of the queue.
 bool
-AreWithinShares(std::uint64_t aClassHeld,
-                std::uint64_t aCustomerHeld,
-                std::uint64_t aMore,
-                std::uint64_t aLeft)
+AreWithinShares(std::uint64_t aUsedByClass,
+                std::uint64_t aUsedByCustomer,
+                std::uint64_t aRequested,
+                std::uint64_t aFree)
 {
-  if (!IsWithinShare(aClassHeld, aMore, aLeft)) {
+  if (!IsWithinShare(aUsedByClass, aRequested, aFree)) {
     return false;
   }
-  const std::uint64_t leftToClass =
-    RequestQueue::kSharingFactor * aLeft - aClassHeld;
-  return IsWithinShare(aCustomerHeld, aMore, leftToClass);
+  const std::uint64_t freeForClass =
+    RequestQueue::kSharingFactor * aFree - aUsedByClass;
+  return IsWithinShare(aUsedByCustomer, aRequested, freeForClass);
 }
 
 } // namespace
@@ -58,10 +62,11 @@
 RequestQueue::RequestQueue(const QueueBounds& aBounds, LengthEstimator aLengths)
   : bounds(aBounds)
   , lengths(std::move(aLengths))
-  , credit(kWholeStart)
-  , creditPerStart(std::max<std::int64_t>(
+  , overdueCredit(kCreditOfOneStart)
+  , overdueCreditPerStart(std::max<std::int64_t>(
       1,
-      std::llround(aBounds.overdueShare * static_cast<double>(kWholeStart))))
+      std::llround(aBounds.overdueShare *
+                   static_cast<double>(kCreditOfOneStart))))
 {
 }
 
@@ -74,7 +79,7 @@
     result.verdict = EnqueueVerdict::RefusedClassBound;
     return result;
   }
-  const SlabIndex index = this->waiting.Flows().Provide(aRequest);
+  const SlabIndex index = this->waiting.Flows().FindOrCreate(aRequest);
   const Flow& flow = this->waiting.Flows().At(index);
   if (!this->IsWithinClassBound(aRequest, flow)) {
     result.verdict = EnqueueVerdict::RefusedClassBound;
@@ -83,7 +88,7 @@
   } else {
     this->waiting.Insert(aRequest, index);
   }
-  this->waiting.Flows().RefreshIdle(index);
+  this->waiting.Flows().UpdateIdle(index);
   result.evicted = this->EvictOverflow();
   return result;
 }
@@ -95,15 +100,15 @@
   if (!choice) {
     return std::nullopt;
   }
-  this->credit = this->CreditAtNextStart();
+  this->overdueCredit = this->CreditAtNextStart();
   if (choice->displaces) {
-    this->credit -= kWholeStart;
+    this->overdueCredit -= kCreditOfOneStart;
   }
   const SlabIndex flow = this->waiting.FlowOf(choice->entry);
   QueuedRequest started = this->waiting.Extract(choice->entry);
-  started.startedOverdue = choice->usesTurn;
-  if (choice->usesTurn) {
-    this->waiting.PassTurn(flow);
+  started.startedOverdue = choice->usesOverdueTurn;
+  if (choice->usesOverdueTurn) {
+    this->waiting.MoveToBackOfRotation(flow);
   }
   this->ChargeStart(started, flow);
   return started;
@@ -125,7 +130,7 @@
   }
   const SlabIndex flow = this->waiting.FlowOf(*entry);
   this->waiting.Extract(*entry);
-  this->waiting.Flows().RefreshIdle(flow);
+  this->waiting.Flows().UpdateIdle(flow);
   return true;
 }
 
@@ -139,14 +144,15 @@
     return;
   }
   this->lengths.Observe(aClass, aCustomer, aTokensGenerated);
-  // The charges of one customer in one class come off in the order they were
-  // made; in sum that is right whichever of its requests ends first.
+  // The call does not identify the start, so the oldest outstanding charge of
+  // the flow is settled. The sum over the flow is right in any order of
+  // completion.
   Flow& flow = this->waiting.Flows().At(*index);
-  const double charged = flow.charged.front();
-  flow.charged.pop_front();
-  const double missing = static_cast<double>(aTokensGenerated) - charged;
-  this->waiting.Charge(*index, kOutputTokenCost * missing);
-  this->waiting.Flows().RefreshIdle(*index);
+  const double charged = flow.outstandingCharges.front();
+  flow.outstandingCharges.pop_front();
+  const double correction = static_cast<double>(aTokensGenerated) - charged;
+  this->waiting.Charge(*index, kOutputTokenCost * correction);
+  this->waiting.Flows().UpdateIdle(*index);
 }
 
 std::size_t
@@ -161,7 +167,7 @@
 std::size_t
 RequestQueue::SizeAtOrAbove(Tier aTier) const
 {
-  return this->waiting.HeldAtOrAbove(aTier).size;
+  return this->waiting.UsageAtOrAbove(aTier).size;
 }
 
 Duration
@@ -169,7 +175,7 @@
 {
   Duration oldest{ 0 };
   const auto consider = [&](SlabIndex aFlow) {
-    const SlabIndex entry = this->waiting.Flows().At(aFlow).line.Oldest();
+    const SlabIndex entry = this->waiting.Flows().At(aFlow).queue.Oldest();
     const TimePoint since = this->waiting.At(entry).enqueued;
     oldest = std::max(oldest, Between(since, aNow));
   };
@@ -202,47 +208,50 @@
   if (aRequest.resumed) {
     return true;
   }
-  const ClassState& owner = this->waiting.Flows().ClassAt(aFlow.classIndex);
-  if (owner.size >= aRequest.classQueueBound) {
+  const ClassState& classState =
+    this->waiting.Flows().ClassAt(aFlow.classIndex);
+  if (classState.size >= aRequest.classQueueBound) {
     return false;
   }
-  // Without this, one customer's burst fills its class's bound and the class's
-  // other customers are refused until it is worked off.
+  // Otherwise a burst of one customer would fill the class's bound, and the
+  // class's other customers would be refused until the burst is served.
   return IsWithinShare(
-    aFlow.line.Size(), 1, aRequest.classQueueBound - owner.size);
+    aFlow.queue.Size(), 1, aRequest.classQueueBound - classState.size);
 }
 
 bool
 RequestQueue::IsWithinMemory(const QueuedRequest& aRequest,
                              const Flow& aFlow) const
 {
-  // Lower tiers do not count: they are evicted for the newcomer.
-  const Held held = this->waiting.HeldAtOrAbove(internal::TierOf(aRequest));
-  if (held.size >= this->bounds.requests ||
-      held.bytes + aRequest.bytes > this->bounds.bytes) {
+  // Lower tiers are not counted: EvictOverflow removes them for this request.
+  const QueueUsage usage =
+    this->waiting.UsageAtOrAbove(internal::TierOf(aRequest));
+  if (usage.size >= this->bounds.requests ||
+      usage.bytes + aRequest.bytes > this->bounds.bytes) {
     return false;
   }
   if (aRequest.resumed) {
     return true;
   }
-  // Without this, one burst fills the memory, and the other classes and
-  // customers of its tier and below are refused however little they hold.
-  const ClassState& owner = this->waiting.Flows().ClassAt(aFlow.classIndex);
-  return AreWithinShares(owner.size,
-                         aFlow.line.Size(),
+  // Otherwise one burst would fill the queue, and the other classes and
+  // customers of its tier and below would be refused however little they hold.
+  const ClassState& classState =
+    this->waiting.Flows().ClassAt(aFlow.classIndex);
+  return AreWithinShares(classState.size,
+                         aFlow.queue.Size(),
                          1,
-                         this->bounds.requests - held.size) &&
-         AreWithinShares(owner.bytes,
+                         this->bounds.requests - usage.size) &&
+         AreWithinShares(classState.bytes,
                          aFlow.bytes,
                          aRequest.bytes,
-                         this->bounds.bytes - held.bytes);
+                         this->bounds.bytes - usage.bytes);
 }
 
 std::vector<RequestId>
 RequestQueue::EvictOverflow()
 {
-  // IsWithinMemory has made sure that the newcomer fits beside its own and
-  // higher tiers, so whatever goes here is of a tier below it.
+  // IsWithinMemory has checked that the new request fits beside its own and
+  // higher tiers, so only requests of lower tiers are evicted here.
   std::vector<RequestId> evicted;
   while (this->Size() > this->bounds.requests ||
          this->Bytes() > this->bounds.bytes) {
@@ -262,19 +271,20 @@
   }
   const SlabIndex byTier = this->waiting.FirstByTier();
   const std::optional<SlabIndex> overdue = this->waiting.FirstOverdue();
-  if (!overdue || this->CreditAtNextStart() < kWholeStart) {
+  if (!overdue || this->CreditAtNextStart() < kCreditOfOneStart) {
     return Choice{ byTier, false, false };
   }
-  // A class that is also first by tier uses up its turn, though it displaces
-  // nobody: else it would stay in front of the rotation, and the classes behind
-  // it would starve for as long as it has work.
+  // An overdue class uses up its turn also when its request is first by tier
+  // and displaces none. Otherwise it would stay at the front of the rotation,
+  // and the classes behind it would starve for as long as it has work.
   return Choice{ *overdue, true, *overdue != byTier };
 }
 
 std::int64_t
 RequestQueue::CreditAtNextStart() const
 {
-  return std::min(this->credit + this->creditPerStart, kWholeStart);
+  return std::min(this->overdueCredit + this->overdueCreditPerStart,
+                  kCreditOfOneStart);
 }
 
 void
@@ -285,10 +295,10 @@
     this->lengths.Mean(aRequest.className, aRequest.customer);
   const double output =
     std::min(expected, static_cast<double>(aRequest.maxTokens));
-  flow.charged.push_back(output);
+  flow.outstandingCharges.push_back(output);
   const double tokens =
     static_cast<double>(aRequest.promptTokens) + kOutputTokenCost * output;
-  // Plain services have no tokens; there each request counts the same.
+  // Requests of services without tokens are charged one token each.
   this->waiting.Charge(aFlow, std::max(1.0, tokens));
 }
 
--- a/dogwoodvale/src/Scheduling/RequestQueue.h
+++ b/dogwoodvale/src/Scheduling/RequestQueue.h
@@ -7,34 +7,38 @@
 
 namespace dogwoodvale {
 
-/// The sidecar's queue: strictly by tier, fair by tokens within a tier, by
-/// slack within one customer's requests of a class.
+/// The sidecar's production queue: strict priority between tiers, weighted
+/// fairness by tokens between the classes of a tier and between the customers
+/// of a class, least slack first among one customer's requests of a class.
 ///
-/// A class that has waited beyond its bound gets the next free slot, within
-/// QueueBounds::overdueShare of the starts. With s that share, C the overdue
-/// classes, F the overdue customers of a class and k a request's rank by age
-/// in its customer's line, a request is dequeued at the latest ceil(1/s)·C·F·k
-/// starts after it became overdue, whatever arrives in higher tiers.
+/// Starvation bound: a class with a request that has waited longer than its
+/// maxWait gets the next free slot, within QueueBounds::overdueShare of the
+/// starts. With s that share, C the number of overdue classes, F the number of
+/// overdue customers of a class and k a request's rank by age in its customer's
+/// queue, a request is dequeued at the latest ceil(1/s)·C·F·k starts after it
+/// became overdue, whatever arrives in higher tiers.
 ///
-/// Among customers (and classes) that always have something waiting, the
-/// tokens served over weight differ by at most the largest charge of one
-/// request plus, for each request that runs, four times the longest answer (an
-/// estimate is corrected only at the end); all over the smaller weight.
+/// Fairness bound: between two customers (or classes) that are continuously
+/// backlogged, tokens served divided by weight differ by at most the largest
+/// charge of one request plus, for each running request, four times the longest
+/// answer (an estimate is corrected only when the request finishes), all
+/// divided by the smaller weight.
 ///
-/// Each operation takes logarithmic time in what waits; there are no scans.
+/// Each operation takes time logarithmic in the number of queued requests.
 class RequestQueue : public AbstractRequestQueue
 {
 public:
-  /// A generated token costs the server more than a token of the prompt.
+  /// Charge for a generated token, in prompt tokens: decoding a token costs the
+  /// server more than prefilling one.
   static constexpr double kOutputTokenCost = 2;
 
-  /// A customer may hold this many times what is left of its class's bound,
-  /// and a class this many times what is left of the memory (dynamic
-  /// thresholds, Choudhury and Hahne, 1998). One burst alone takes four fifths
-  /// and leaves the rest to others.
+  /// Factor of the dynamic thresholds (Choudhury and Hahne, 1998): a customer
+  /// may hold at most this many times the free part of its class's bound, and a
+  /// class at most this many times the free part of the queue's limits. A
+  /// single burst so takes at most four fifths and leaves the rest to others.
   static constexpr std::uint64_t kSharingFactor = 4;
 
-  /// \return InvalidArgument when the bounds are unusable.
+  /// \return InvalidArgument when CheckBounds rejects the bounds.
   static absl::StatusOr<RequestQueue> Create(const QueueBounds& aBounds);
 
   EnqueueResult Enqueue(const QueuedRequest& aRequest, TimePoint aNow) override;
@@ -51,23 +55,22 @@
   Duration OldestWait(const ClassName& aClass, TimePoint aNow) const override;
   std::vector<RequestId> DrainAll() override;
 
-  /// Tokens that one start generates, learned from OnFinished.
+  /// Estimator of the tokens generated per start, fed by OnFinished.
   const LengthEstimator& Lengths() const { return this->lengths; }
 
-  /// Customers of classes that are remembered, waiting or not. Bounded.
-  std::size_t RememberedCustomers() const
-  {
-    return this->waiting.Flows().Size();
-  }
+  /// Number of (class, customer) flows whose state is kept, including idle
+  /// ones.
+  std::size_t TrackedFlows() const { return this->waiting.Flows().Size(); }
 
 private:
-  /// What Dequeue takes, and by which rule.
+  /// The request that Dequeue takes, and the rule that selected it.
   struct Choice
   {
     internal::SlabIndex entry = 0;
-    /// It uses its class's turn in the overdue rotation.
-    bool usesTurn = false;
-    /// It goes ahead of the request that tiers and shares would pick.
+    /// It uses the turn of its class and customer in the overdue rotation.
+    bool usesOverdueTurn = false;
+    /// It starts ahead of the request that tier and fair share select, and so
+    /// costs overdue credit.
     bool displaces = false;
   };
 
@@ -85,9 +88,10 @@
   QueueBounds bounds;
   LengthEstimator lengths;
   internal::WaitingRequests waiting;
-  /// Millionths of a start that overdue classes may take.
-  std::int64_t credit;
-  std::int64_t creditPerStart;
+  /// Token bucket of the starts that overdue classes may take ahead of others,
+  /// in millionths of a start.
+  std::int64_t overdueCredit;
+  std::int64_t overdueCreditPerStart;
 };
 
 } // namespace dogwoodvale
--- a/dogwoodvale/src/Scheduling/Slab.h
+++ b/dogwoodvale/src/Scheduling/Slab.h
@@ -10,44 +10,47 @@
 
 namespace dogwoodvale::internal {
 
-/// Where a value lies in its Slab. Small and stable, so that the ordered sets
-/// hold these instead of pointers.
+/// Index of a value in its Slab. Small, and stable until the value is taken
+/// out, so that the ordered sets hold indices instead of pointers.
 using SlabIndex = std::uint32_t;
 
-/// Values under stable indices; freed places are used again.
+/// Container of values with stable indices; freed slots are reused.
 template<class Value>
 class Slab
 {
 public:
   SlabIndex Add(Value aValue)
   {
-    if (this->vacant.empty()) {
-      this->places.emplace_back(std::move(aValue));
-      return static_cast<SlabIndex>(this->places.size() - 1);
+    if (this->freeSlots.empty()) {
+      this->slots.emplace_back(std::move(aValue));
+      return static_cast<SlabIndex>(this->slots.size() - 1);
     }
-    const SlabIndex index = this->vacant.back();
-    this->vacant.pop_back();
-    this->places[index] = std::move(aValue);
+    const SlabIndex index = this->freeSlots.back();
+    this->freeSlots.pop_back();
+    this->slots[index] = std::move(aValue);
     return index;
   }
 
-  Value& At(SlabIndex aIndex) { return *this->places[aIndex]; }
-  const Value& At(SlabIndex aIndex) const { return *this->places[aIndex]; }
+  Value& At(SlabIndex aIndex) { return *this->slots[aIndex]; }
+  const Value& At(SlabIndex aIndex) const { return *this->slots[aIndex]; }
 
-  /// Frees the place and gives back what it held.
+  /// Removes the value, frees its slot and returns the value.
   Value Take(SlabIndex aIndex)
   {
-    Value value = *std::move(this->places[aIndex]);
-    this->places[aIndex].reset();
-    this->vacant.push_back(aIndex);
+    Value value = *std::move(this->slots[aIndex]);
+    this->slots[aIndex].reset();
+    this->freeSlots.push_back(aIndex);
     return value;
   }
 
-  std::size_t Size() const { return this->places.size() - this->vacant.size(); }
+  std::size_t Size() const
+  {
+    return this->slots.size() - this->freeSlots.size();
+  }
 
 private:
-  std::deque<std::optional<Value>> places;
-  std::vector<SlabIndex> vacant;
+  std::deque<std::optional<Value>> slots;
+  std::vector<SlabIndex> freeSlots;
 };
 
 } // namespace dogwoodvale::internal
--- a/dogwoodvale/src/Scheduling/StrictPriorityQueue.h
+++ b/dogwoodvale/src/Scheduling/StrictPriorityQueue.h
@@ -5,12 +5,12 @@
 
 namespace dogwoodvale {
 
-/// Strictly by tier, then by arrival: no fairness, no bound on waiting. Evicts
-/// the lowest tier when full. A baseline for measurements.
+/// Queue by tier, then by arrival, without fairness or a bound on waiting.
+/// Evicts from the lowest tier when full. A baseline for benchmarks.
 class StrictPriorityQueue : public internal::OrderedQueue
 {
 public:
-  /// \return InvalidArgument when a bound is zero.
+  /// \return InvalidArgument when CheckBounds rejects the bounds.
   static absl::StatusOr<StrictPriorityQueue> Create(const QueueBounds& aBounds);
 
 protected:
--- a/dogwoodvale/src/Scheduling/WaitEstimator.cpp
+++ b/dogwoodvale/src/Scheduling/WaitEstimator.cpp
@@ -9,43 +9,44 @@
 namespace {
 
 constexpr double kMicrosecondsPerSecond = 1e6;
-constexpr double kShortestRetrySeconds = 0.1;
-constexpr double kLongestRetrySeconds = 30;
+constexpr double kMinRetrySeconds = 0.1;
+constexpr double kMaxRetrySeconds = 30;
 constexpr double kMillisecondsPerSecond = 1000;
 
-/// A class that has waited this part of the memory is started at the rate that
-/// the server has for it, no longer at the rate that it asks for.
-constexpr int kBackloggedShare = 4;
+/// A class whose oldest request has waited at minRate the time constant over
+/// this counts as backlogged: its start rate is what the server provides, no
+/// longer what its demand was.
+constexpr int kBacklogDivisor = 4;
 
-/// Classes whose rates are kept.
+/// Maximum number of classes whose rates are kept.
 constexpr std::size_t kMaxClasses = 1024;
-/// A count below this tells nothing any more.
-constexpr double kFaded = 0.01;
-/// Shortest time since the first start that a rate is taken over, as a share of
-/// the memory.
-constexpr double kShortestAge = 0.05;
+/// Classes with a decayed count below this may be evicted.
+constexpr double kNegligibleCount = 0.01;
+/// Lower bound of the time since the first start in RateOf, as a fraction of
+/// the time constant.
+constexpr double kMinAge = 0.05;
 
-/// How long a queue takes to start as many as wait.
+/// Time in seconds to start \p aAhead requests at \p aRate per second.
 double
-WaitFor(std::size_t aBefore, double aRate)
+SecondsToStart(std::size_t aAhead, double aRate)
 {
-  if (aBefore == 0) {
+  if (aAhead == 0) {
     return 0;
   }
-  return aRate > 0 ? static_cast<double>(aBefore) / aRate
+  return aRate > 0 ? static_cast<double>(aAhead) / aRate
                    : std::numeric_limits<double>::infinity();
 }
 
 } // namespace
 
 absl::StatusOr<WaitEstimator>
-WaitEstimator::Create(Duration aMemory)
+WaitEstimator::Create(Duration aTimeConstant)
 {
-  if (aMemory <= Duration(0)) {
+  if (aTimeConstant <= Duration(0)) {
     return MakeError(absl::StatusCode::kInvalidArgument,
-                     "the memory of a wait estimator must be positive");
+                     "wait estimator: the time constant must be positive");
   }
-  return WaitEstimator(aMemory);
+  return WaitEstimator(aTimeConstant);
 }
 
 void
@@ -63,27 +64,27 @@
   this->OnStart(aRequest.tier, aNow);
   if (this->classes.size() >= kMaxClasses &&
       !this->classes.contains(aRequest.className)) {
-    this->ForgetFaded(aNow);
+    this->EvictDecayed(aNow);
   }
   this->Count(this->classes[aRequest.className], aNow);
 }
 
 void
-WaitEstimator::Count(Decayed& aCount, TimePoint aNow) const
+WaitEstimator::Count(DecayedCount& aCount, TimePoint aNow) const
 {
   const double gap = static_cast<double>(Between(aCount.at, aNow).count()) /
-                     static_cast<double>(this->memory.count());
+                     static_cast<double>(this->timeConstant.count());
   aCount.count = aCount.count * std::exp(-std::max(0.0, gap)) + 1;
   aCount.at = aNow;
 }
 
 void
-WaitEstimator::ForgetFaded(TimePoint aNow)
+WaitEstimator::EvictDecayed(TimePoint aNow)
 {
-  const double least =
-    kFaded * kMicrosecondsPerSecond / static_cast<double>(this->memory.count());
+  const double minRate = kNegligibleCount * kMicrosecondsPerSecond /
+                         static_cast<double>(this->timeConstant.count());
   absl::erase_if(this->classes, [&](const auto& aClass) {
-    return this->RateOf(aClass.second, aNow) < least;
+    return this->RateOf(aClass.second, aNow) < minRate;
   });
   if (this->classes.size() >= kMaxClasses) {
     this->classes.clear();
@@ -114,18 +115,19 @@
 }
 
 double
-WaitEstimator::RateOf(const Decayed& aCount, TimePoint aNow) const
+WaitEstimator::RateOf(const DecayedCount& aCount, TimePoint aNow) const
 {
   if (!this->firstStart) {
     return 0;
   }
-  const auto span = static_cast<double>(this->memory.count());
+  const auto span = static_cast<double>(this->timeConstant.count());
   const auto gap = static_cast<double>(Between(aCount.at, aNow).count());
   const auto age =
     static_cast<double>(Between(*this->firstStart, aNow).count());
-  // Counts that have not yet had their full time would tell too low a rate, and
-  // a server just started would refuse what it could serve.
-  const double full = 1 - std::exp(-std::max(kShortestAge, age / span));
+  // Until several time constants have passed since the first start, the decayed
+  // count underestimates the rate; uncorrected, a sidecar that has just started
+  // would refuse requests that its server could serve.
+  const double full = 1 - std::exp(-std::max(kMinAge, age / span));
   return aCount.count * std::exp(-std::max(0.0, gap) / span) *
          kMicrosecondsPerSecond / (span * full);
 }
@@ -138,31 +140,30 @@
 {
   const double left =
     aStarts.StartRate(aNow) - aStarts.StartRateAbove(aTier, aNow);
-  return WaitFor(aQueue.SizeAtOrAbove(aTier), left);
+  return SecondsToStart(aQueue.SizeAtOrAbove(aTier), left);
 }
 
 double
 EstimatedWait(const AbstractRequestQueue& aQueue,
               const WaitEstimator& aStarts,
-              const QueuedRequest& aNewcomer,
+              const QueuedRequest& aArrival,
               TimePoint aNow)
 {
-  const ClassName& className = aNewcomer.className;
-  const double byClass = WaitFor(aQueue.SizeOfClass(className),
-                                 aStarts.StartRateOf(className, aNow));
+  const ClassName& className = aArrival.className;
+  const double byClass = SecondsToStart(aQueue.SizeOfClass(className),
+                                        aStarts.StartRateOf(className, aNow));
   if (aQueue.OldestWait(className, aNow) >=
-      aStarts.Memory() / kBackloggedShare) {
+      aStarts.TimeConstant() / kBacklogDivisor) {
     return byClass;
   }
-  return std::min(byClass,
-                  EstimatedWait(aQueue, aStarts, aNewcomer.tier, aNow));
+  return std::min(byClass, EstimatedWait(aQueue, aStarts, aArrival.tier, aNow));
 }
 
 milliseconds
 RetryAfter(double aWaitSeconds, double aRandom)
 {
   const double wait =
-    std::clamp(aWaitSeconds, kShortestRetrySeconds, kLongestRetrySeconds);
+    std::clamp(aWaitSeconds, kMinRetrySeconds, kMaxRetrySeconds);
   return milliseconds(
     std::llround(wait * (0.5 + aRandom) * kMillisecondsPerSecond));
 }
--- a/dogwoodvale/src/Scheduling/WaitingRequests.cpp
+++ b/dogwoodvale/src/Scheduling/WaitingRequests.cpp
@@ -7,17 +7,17 @@
 std::optional<SlabIndex>
 WaitingRequests::Find(const RequestId& aId) const
 {
-  const auto found = this->places.find(aId);
-  return found == this->places.end() ? std::nullopt
-                                     : std::optional(found->second);
+  const auto found = this->entryById.find(aId);
+  return found == this->entryById.end() ? std::nullopt
+                                        : std::optional(found->second);
 }
 
 std::vector<RequestId>
 WaitingRequests::SortedIds() const
 {
   std::vector<RequestId> ids;
-  ids.reserve(this->places.size());
-  for (const auto& [id, entry] : this->places) {
+  ids.reserve(this->entryById.size());
+  for (const auto& [id, entry] : this->entryById) {
     ids.push_back(id);
   }
   std::sort(ids.begin(), ids.end());
@@ -28,47 +28,49 @@
 WaitingRequests::Insert(const QueuedRequest& aRequest, SlabIndex aFlow)
 {
   const SlabIndex entry = this->entries.Add({ aRequest, aFlow });
-  this->places.emplace(aRequest.id, entry);
+  this->entryById.emplace(aRequest.id, entry);
   Flow& flow = this->flows.At(aFlow);
-  ClassState& owner = this->flows.ClassAt(flow.classIndex);
-  flow.line.Add(aRequest, entry);
-  this->Count(aRequest, aFlow, true);
+  ClassState& classState = this->flows.ClassAt(flow.classIndex);
+  flow.queue.Add(aRequest, entry);
+  this->UpdateTotals(aRequest, aFlow, true);
   if (!flow.fair.active) {
-    owner.customers.Activate(flow.fair, aFlow);
+    classState.customers.Activate(flow.fair, aFlow);
   }
-  if (!owner.fair.active) {
-    this->tiers.at(owner.tier).classes.Activate(owner.fair, flow.classIndex);
+  if (!classState.fair.active) {
+    this->tiers.at(classState.tier)
+      .classes.Activate(classState.fair, flow.classIndex);
   }
-  this->RefreshRotation(aFlow);
+  this->UpdateRotation(aFlow);
 }
 
 QueuedRequest
 WaitingRequests::Extract(SlabIndex aEntry)
 {
   Entry taken = this->entries.Take(aEntry);
-  this->places.erase(taken.request.id);
+  this->entryById.erase(taken.request.id);
   Flow& flow = this->flows.At(taken.flow);
-  ClassState& owner = this->flows.ClassAt(flow.classIndex);
-  flow.line.Remove(taken.request, aEntry);
-  this->Count(taken.request, taken.flow, false);
-  if (flow.line.IsEmpty()) {
-    owner.customers.Deactivate(flow.fair, taken.flow);
+  ClassState& classState = this->flows.ClassAt(flow.classIndex);
+  flow.queue.Remove(taken.request, aEntry);
+  this->UpdateTotals(taken.request, taken.flow, false);
+  if (flow.queue.IsEmpty()) {
+    classState.customers.Deactivate(flow.fair, taken.flow);
   }
-  if (owner.size == 0) {
-    this->tiers.at(owner.tier).classes.Deactivate(owner.fair, flow.classIndex);
+  if (classState.size == 0) {
+    this->tiers.at(classState.tier)
+      .classes.Deactivate(classState.fair, flow.classIndex);
   }
-  this->RefreshRotation(taken.flow);
+  this->UpdateRotation(taken.flow);
   return std::move(taken.request);
 }
 
 void
 WaitingRequests::AdvanceTo(TimePoint aNow)
 {
-  this->latest = std::max(this->latest, aNow);
-  while (const auto classIndex = this->overdueClasses.FirstDue(this->latest)) {
+  this->now = std::max(this->now, aNow);
+  while (const auto classIndex = this->overdueClasses.FirstDue(this->now)) {
     const OverdueRotation& customers =
       this->flows.ClassAt(*classIndex).overdueCustomers;
-    this->RefreshRotation(*customers.FirstDue(this->latest));
+    this->UpdateRotation(*customers.FirstDue(this->now));
   }
 }
 
@@ -78,9 +80,9 @@
   const auto highest =
     std::find_if(this->tiers.begin(),
                  this->tiers.end(),
-                 [](const TierState& aTier) { return aTier.held.size > 0; });
+                 [](const TierState& aTier) { return aTier.usage.size > 0; });
   const ClassState& first = this->flows.ClassAt(highest->classes.First());
-  return this->flows.At(first.customers.First()).line.Next(this->latest);
+  return this->flows.At(first.customers.First()).queue.Next(this->now);
 }
 
 std::optional<SlabIndex>
@@ -92,19 +94,19 @@
   }
   const OverdueRotation& customers =
     this->flows.ClassAt(*classIndex).overdueCustomers;
-  return this->flows.At(*customers.FirstOverdue()).line.Oldest();
+  return this->flows.At(*customers.FirstOverdue()).queue.Oldest();
 }
 
 void
-WaitingRequests::PassTurn(SlabIndex aFlow)
+WaitingRequests::MoveToBackOfRotation(SlabIndex aFlow)
 {
   Flow& flow = this->flows.At(aFlow);
-  ClassState& owner = this->flows.ClassAt(flow.classIndex);
+  ClassState& classState = this->flows.ClassAt(flow.classIndex);
   if (flow.rotation.turn) {
-    owner.overdueCustomers.MoveToBack(flow.rotation, aFlow);
+    classState.overdueCustomers.MoveToBack(flow.rotation, aFlow);
   }
-  if (owner.rotation.turn) {
-    this->overdueClasses.MoveToBack(owner.rotation, flow.classIndex);
+  if (classState.rotation.turn) {
+    this->overdueClasses.MoveToBack(classState.rotation, flow.classIndex);
   }
 }
 
@@ -114,71 +116,73 @@
   const auto lowest =
     std::find_if(this->tiers.rbegin(),
                  this->tiers.rend(),
-                 [](const TierState& aTier) { return aTier.held.size > 0; });
-  // The oldest keep their place and are served in the end.
-  return this->flows.At(lowest->holdings.rbegin()->second).line.Newest();
+                 [](const TierState& aTier) { return aTier.usage.size > 0; });
+  // Evicting the newest lets the oldest requests keep their position and be
+  // served eventually.
+  return this->flows.At(lowest->flowsByBytes.rbegin()->second).queue.Newest();
 }
 
 void
 WaitingRequests::Charge(SlabIndex aFlow, double aTokens)
 {
   Flow& flow = this->flows.At(aFlow);
-  ClassState& owner = this->flows.ClassAt(flow.classIndex);
-  owner.customers.Charge(flow.fair, aFlow, aTokens);
-  this->tiers.at(owner.tier)
-    .classes.Charge(owner.fair, flow.classIndex, aTokens);
+  ClassState& classState = this->flows.ClassAt(flow.classIndex);
+  classState.customers.Charge(flow.fair, aFlow, aTokens);
+  this->tiers.at(classState.tier)
+    .classes.Charge(classState.fair, flow.classIndex, aTokens);
 }
 
-Held
-WaitingRequests::HeldAtOrAbove(Tier aTier) const
+QueueUsage
+WaitingRequests::UsageAtOrAbove(Tier aTier) const
 {
-  Held sum;
+  QueueUsage sum;
   for (std::size_t tier = 0; tier <= aTier && tier < kTierCount; ++tier) {
-    sum.size += this->tiers.at(tier).held.size;
-    sum.bytes += this->tiers.at(tier).held.bytes;
+    sum.size += this->tiers.at(tier).usage.size;
+    sum.bytes += this->tiers.at(tier).usage.bytes;
   }
   return sum;
 }
 
 void
-WaitingRequests::Count(const QueuedRequest& aRequest,
-                       SlabIndex aFlow,
-                       bool aAdded)
+WaitingRequests::UpdateTotals(const QueuedRequest& aRequest,
+                              SlabIndex aFlow,
+                              bool aAdded)
 {
   Flow& flow = this->flows.At(aFlow);
-  ClassState& owner = this->flows.ClassAt(flow.classIndex);
-  TierState& tier = this->tiers.at(owner.tier);
-  tier.holdings.erase({ flow.bytes, aFlow });
-  // Taking away adds the two's complement, which is exact for unsigned types.
+  ClassState& classState = this->flows.ClassAt(flow.classIndex);
+  TierState& tier = this->tiers.at(classState.tier);
+  tier.flowsByBytes.erase({ flow.bytes, aFlow });
+  // Subtraction adds the negated value; unsigned arithmetic wraps, so the
+  // totals stay exact.
   const std::uint64_t bytes = aAdded ? aRequest.bytes : -aRequest.bytes;
   const std::size_t one = aAdded ? 1 : -std::size_t{ 1 };
   flow.bytes += bytes;
-  owner.bytes += bytes;
-  tier.held.bytes += bytes;
-  owner.size += one;
-  tier.held.size += one;
-  if (!flow.line.IsEmpty()) {
-    tier.holdings.emplace(flow.bytes, aFlow);
+  classState.bytes += bytes;
+  tier.usage.bytes += bytes;
+  classState.size += one;
+  tier.usage.size += one;
+  if (!flow.queue.IsEmpty()) {
+    tier.flowsByBytes.emplace(flow.bytes, aFlow);
   }
 }
 
 void
-WaitingRequests::RefreshRotation(SlabIndex aFlow)
+WaitingRequests::UpdateRotation(SlabIndex aFlow)
 {
   Flow& flow = this->flows.At(aFlow);
-  ClassState& owner = this->flows.ClassAt(flow.classIndex);
+  ClassState& classState = this->flows.ClassAt(flow.classIndex);
   std::optional<TimePoint> due;
-  if (!flow.line.IsEmpty()) {
-    due = flow.line.Due();
+  if (!flow.queue.IsEmpty()) {
+    due = flow.queue.Due();
   }
-  const bool overdue = due && *due <= this->latest;
-  OverdueRotation& customers = owner.overdueCustomers;
+  const bool overdue = due && *due <= this->now;
+  OverdueRotation& customers = classState.overdueCustomers;
   customers.SetOverdue(flow.rotation, aFlow, overdue);
   customers.SetDue(flow.rotation, aFlow, overdue ? std::nullopt : due);
   this->overdueClasses.SetOverdue(
-    owner.rotation, flow.classIndex, customers.FirstOverdue().has_value());
+    classState.rotation, flow.classIndex, customers.FirstOverdue().has_value());
   this->overdueClasses.SetDue(
-    owner.rotation, flow.classIndex, customers.NextDue());
+    classState.rotation, flow.classIndex, customers.NextDue());
 }
 
 } // namespace dogwoodvale::internal
--- a/dogwoodvale/src/Scheduling/WaitingRequests.h
+++ b/dogwoodvale/src/Scheduling/WaitingRequests.h
@@ -10,21 +10,22 @@
 
 namespace dogwoodvale::internal {
 
-/// A number of waiting requests and the memory they hold.
-struct Held
+/// Number of queued requests and the memory they hold.
+struct QueueUsage
 {
   std::size_t size = 0;
   std::uint64_t bytes = 0;
 };
 
-/// The waiting requests under every order that RequestQueue chooses by, kept
-/// in step: by tier and fair share, by overdue turn, by memory held, by id.
+/// The queued requests with every index that RequestQueue selects by, kept
+/// consistent: by tier and fair share, by overdue rotation, by memory held, and
+/// by id.
 class WaitingRequests
 {
 public:
   bool Contains(const RequestId& aId) const
   {
-    return this->places.contains(aId);
+    return this->entryById.contains(aId);
   }
   std::optional<SlabIndex> Find(const RequestId& aId) const;
   const QueuedRequest& At(SlabIndex aEntry) const
@@ -37,27 +38,33 @@
   }
   std::vector<RequestId> SortedIds() const;
 
+  /// Precondition: the id of \p aRequest is not queued.
   void Insert(const QueuedRequest& aRequest, SlabIndex aFlow);
   QueuedRequest Extract(SlabIndex aEntry);
 
-  /// Brings the time forward, so that what is overdue by \p aNow counts so.
+  /// Advances the current time to \p aNow and marks the members that are
+  /// overdue by then. A time before the current one has no effect.
   void AdvanceTo(TimePoint aNow);
 
-  /// The first by tier, fair share and slack; only when not empty.
+  /// The first request by tier, fair share and slack. Precondition: not empty.
   SlabIndex FirstByTier() const;
-  /// The oldest of the overdue customer whose turn it is.
+  /// The oldest request of the overdue customer whose turn it is; nullopt when
+  /// nothing is overdue.
   std::optional<SlabIndex> FirstOverdue() const;
-  /// Sends the flow and its class to the back of the overdue rotation.
-  void PassTurn(SlabIndex aFlow);
-  /// The newest of the customer that holds most in the lowest tier; only when
-  /// not empty.
+  /// Moves the flow and its class to the back of their overdue rotations, if
+  /// they are in them.
+  void MoveToBackOfRotation(SlabIndex aFlow);
+  /// The newest request of the flow that holds the most memory in the lowest
+  /// non-empty tier. Precondition: not empty.
   SlabIndex FirstToEvict() const;
 
-  /// Counts tokens, which may be negative, as served to a flow and its class.
+  /// Adds \p aTokens, which may be negative, to the tokens served to a flow and
+  /// to its class.
   void Charge(SlabIndex aFlow, double aTokens);
 
-  Held Total() const { return this->HeldAtOrAbove(kTierCount - 1); }
-  Held HeldAtOrAbove(Tier aTier) const;
+  QueueUsage Total() const { return this->UsageAtOrAbove(kTierCount - 1); }
+  /// Usage of \p aTier and of higher tiers (smaller numbers).
+  QueueUsage UsageAtOrAbove(Tier aTier) const;
 
   FlowTable& Flows() { return this->flows; }
   const FlowTable& Flows() const { return this->flows; }
@@ -72,21 +79,25 @@
   struct TierState
   {
     FairOrder classes;
-    /// Flows by the memory they hold.
-    absl::btree_set<std::pair<std::uint64_t, SlabIndex>> holdings;
-    Held held;
+    /// Flows with queued requests by the memory they hold, in bytes.
+    absl::btree_set<std::pair<std::uint64_t, SlabIndex>> flowsByBytes;
+    QueueUsage usage;
   };
 
-  /// Adds to (or takes from) every sum that the request counts in.
-  void Count(const QueuedRequest& aRequest, SlabIndex aFlow, bool aAdded);
-  void RefreshRotation(SlabIndex aFlow);
+  /// Adds the request to (or subtracts it from) the totals of its flow, class
+  /// and tier.
+  void UpdateTotals(const QueuedRequest& aRequest,
+                    SlabIndex aFlow,
+                    bool aAdded);
+  void UpdateRotation(SlabIndex aFlow);
 
   Slab<Entry> entries;
   FlowTable flows;
-  absl::flat_hash_map<RequestId, SlabIndex> places;
+  absl::flat_hash_map<RequestId, SlabIndex> entryById;
   std::array<TierState, kTierCount> tiers{};
   OverdueRotation overdueClasses;
-  TimePoint latest;
+  /// Latest time passed to AdvanceTo.
+  TimePoint now;
 };
 
 } // namespace dogwoodvale::internal
