--- a/dogwoodvale/src/Scheduling/AdaptiveConcurrencyLimit.h
+++ b/dogwoodvale/src/Scheduling/AdaptiveConcurrencyLimit.h
@@ -122,9 +122,11 @@
   std::vector<FirstTokenSample> firstTokens;
   std::uint32_t windows = 0;
   std::uint32_t finishes = 0;
-  std::optional<TimePoint> estimateStart;
   /// Start times of the requests that await their first token, oldest first.
+  /// Kept across estimates.
   std::deque<TimePoint> awaitingFirstToken;
+  /// When the current estimate began; nullopt before the first start.
+  std::optional<TimePoint> estimateStart;
   /// Time of the last start or finish.
   TimePoint latest;
 };
--- a/dogwoodvale/src/Scheduling/EarlyRefusal.cpp
+++ b/dogwoodvale/src/Scheduling/EarlyRefusal.cpp
@@ -7,7 +7,8 @@
 
 namespace {
 
-/// Maximum number of classes whose arrivals are counted.
+/// Maximum number of classes whose arrivals are counted; when it is reached,
+/// all counts are reset.
 constexpr std::size_t kMaxClasses = 1024;
 
 double
@@ -87,9 +88,9 @@
                                  aStarts.StartRateOf(aArrival.className, aNow);
   const double share =
     keepsUp ? this->options.shareInBurst : this->options.shareOfMaxWait;
-  const double longest =
+  const double maxExpectedWait =
     std::min(share * SecondsOf(aArrival.maxWait), SecondsOf(aRemaining));
-  return EstimatedWait(aQueue, aStarts, aArrival, aNow) > longest;
+  return EstimatedWait(aQueue, aStarts, aArrival, aNow) > maxExpectedWait;
 }
 
 } // namespace dogwoodvale
--- a/dogwoodvale/src/Scheduling/EarlyRefusal.h
+++ b/dogwoodvale/src/Scheduling/EarlyRefusal.h
@@ -37,8 +37,9 @@
   /// Whether \p aArrival should be refused: a request of its class already
   /// waits beyond the bound, or its expected wait exceeds the allowed share of
   /// the bound or the caller's remaining time. Depends only on its class and on
-  /// its own and higher tiers; never true for a class with an empty queue. Also
-  /// counts the arrival, so call it once per arriving request.
+  /// its own and higher tiers; never true for a class with an empty queue.
+  /// Counts the arrival (unless the class is beyond its bound), so call it once
+  /// per request.
   ///
   /// \param aRemaining time left until the caller's deadline
   bool Refuses(const AbstractRequestQueue& aQueue,
--- a/dogwoodvale/src/Scheduling/QueuedRequest.h
+++ b/dogwoodvale/src/Scheduling/QueuedRequest.h
@@ -31,6 +31,7 @@
   /// QueueBounds::overdueShare.
   Duration maxWait{ 0 };
   std::uint32_t promptTokens = 0;
+  /// Maximum number of tokens to generate.
   std::uint32_t maxTokens = 0;
   /// Memory that the request holds while it is queued.
   std::uint64_t bytes = 0;
--- a/dogwoodvale/src/Scheduling/WaitEstimator.cpp
+++ b/dogwoodvale/src/Scheduling/WaitEstimator.cpp
@@ -13,9 +13,9 @@
 constexpr double kMaxRetrySeconds = 30;
 constexpr double kMillisecondsPerSecond = 1000;
 
-/// A class whose oldest request has waited at minRate the time constant over
-/// this counts as backlogged: its start rate is what the server provides, no
-/// longer what its demand was.
+/// A class counts as backlogged once its oldest request has waited for the time
+/// constant divided by this: its start rate then reflects what the server
+/// provides, no longer the demand.
 constexpr int kBacklogDivisor = 4;
 
 /// Maximum number of classes whose rates are kept.
@@ -127,9 +127,9 @@
   // Until several time constants have passed since the first start, the decayed
   // count underestimates the rate; uncorrected, a sidecar that has just started
   // would refuse requests that its server could serve.
-  const double full = 1 - std::exp(-std::max(kMinAge, age / span));
+  const double coverage = 1 - std::exp(-std::max(kMinAge, age / span));
   return aCount.count * std::exp(-std::max(0.0, gap) / span) *
-         kMicrosecondsPerSecond / (span * full);
+         kMicrosecondsPerSecond / (span * coverage);
 }
 
 double
@@ -138,9 +138,9 @@
               Tier aTier,
               TimePoint aNow)
 {
-  const double left =
+  const double remainingRate =
     aStarts.StartRate(aNow) - aStarts.StartRateAbove(aTier, aNow);
-  return SecondsToStart(aQueue.SizeAtOrAbove(aTier), left);
+  return SecondsToStart(aQueue.SizeAtOrAbove(aTier), remainingRate);
 }
 
 double
--- a/test/SchedulingEstimates.cpp
+++ b/test/SchedulingEstimates.cpp
@@ -33,7 +33,7 @@
 
 } // namespace
 
-TEST_CASE("lengths are learned per customer, then class, then prior")
+TEST_CASE("answer lengths are estimated per customer, then class, then prior")
 {
   auto lengths = *LengthEstimator::Create({});
   const ClassName review("review");
@@ -52,16 +52,16 @@
   REQUIRE(lengths.Mean(ClassName("note"), large) == Approx(prior));
 }
 
-TEST_CASE("the upper quantile covers nine answers in ten")
+TEST_CASE("the upper quantile covers about 90 % of the answers")
 {
   auto lengths = *LengthEstimator::Create({});
   const ClassName review("review");
-  std::uint32_t draw = 1;
+  std::uint32_t randomState = 1;
   const int answers = 5000;
   int covered = 0;
   for (int answer = 0; answer < answers; ++answer) {
-    draw = draw * 1664525U + 1013904223U;
-    const std::uint32_t tokens = (draw >> 8U) % 1000;
+    randomState = randomState * 1664525U + 1013904223U;
+    const std::uint32_t tokens = (randomState >> 8U) % 1000;
     covered += tokens <= lengths.UpperQuantile(review) ? 1 : 0;
     lengths.Observe(review, CustomerName("a"), tokens);
   }
@@ -69,7 +69,7 @@
   REQUIRE(covered < 0.93 * answers);
 }
 
-TEST_CASE("the length estimator's memory is bounded")
+TEST_CASE("the length estimator evicts pairs beyond its capacity")
 {
   LengthEstimator::Options options;
   options.capacity = 100;
@@ -84,13 +84,14 @@
   REQUIRE_FALSE(LengthEstimator::Create(options).ok());
 }
 
-// A running request is thrown out for one of its own or a lower tier, one that
-// must not run twice is run again, or the server spends more on prefilling the
-// victim anew than the head is saved.
-TEST_CASE("preemption is only of a lower tier, idempotent and worth it")
+// Guards against preempting a request of the same or a higher tier, running a
+// non-idempotent request twice, and spending more time on the victim's second
+// prefill than the head's wait is shortened by.
+TEST_CASE("preemption takes only lower-tier idempotent requests that cost less "
+          "than the wait saved")
 {
   const PreemptionPolicy policy = MakePolicy();
-  rc::prop("whatever runs and waits", [&policy] {
+  rc::prop("any running requests and head", [&policy] {
     const int count = *rc::gen::inRange(0, 12);
     std::vector<RunningRequest> running;
     for (int index = 0; index < count; ++index) {
@@ -127,7 +128,7 @@
   });
 }
 
-TEST_CASE("the victim is the cheapest of the lowest tier")
+TEST_CASE("the preempted request is the cheapest of the lowest tier")
 {
   const PreemptionPolicy policy = MakePolicy();
   const std::vector<RunningRequest> running{ MakeRunning(1, 1, 10),
@@ -138,13 +139,14 @@
   REQUIRE(victim == RequestId{ 2, 3 });
 }
 
-// A lower-tier caller is held until its deadline and then told that there was
-// no room; it could have been told at once. Ten starts a second: six of the top
-// tier, three of reviews, one of notes in the same tier as those.
-TEST_CASE("the expected wait counts who is before and what they leave")
+// Without a correct estimate, a lower-tier request waits until its deadline
+// although it could have been refused on arrival. Ten starts per second: six of
+// the top tier, three of class review and one of class note, which share a
+// tier.
+TEST_CASE("the expected wait is the queue ahead over the remaining start rate")
 {
   auto starts = *WaitEstimator::Create(seconds(5));
-  RequestQueue queue = MakeQueue(kRoomy);
+  RequestQueue queue = MakeQueue(kAmpleBounds);
   const QueuedRequest teller = MakeRequest(1000, 0, "teller", "a");
   const QueuedRequest review = MakeRequest(1001, 2, "review", "a");
   const QueuedRequest note = MakeRequest(1002, 2, "note", "a");
@@ -159,15 +161,15 @@
   for (std::uint64_t sequence = 1; sequence <= 20; ++sequence) {
     queue.Enqueue(MakeRequest(sequence, 2, "review", "a", now), now);
   }
-  // By tier 20 over 4 a second; once the backlog has lasted, by class 20
-  // over 3.
+  // By tier, 20 requests over 4 starts per second; once the class counts as
+  // backlogged, 20 over 3.
   REQUIRE(EstimatedWait(queue, starts, review, now) == Approx(5).epsilon(0.15));
   REQUIRE(EstimatedWait(queue, starts, review, now + milliseconds(1300)) > 6);
-  // The burst of reviews is not before the first note.
+  // The burst of class review is not ahead of the first request of class note.
   REQUIRE(EstimatedWait(queue, starts, note, now) == 0);
   queue.Enqueue(MakeRequest(30, 2, "note", "a", now), now);
   REQUIRE(EstimatedWait(queue, starts, note, now) < 3);
-  // A burst below does not count for a higher tier.
+  // A burst in a lower tier does not count for a higher one.
   REQUIRE(EstimatedWait(queue, starts, teller, now) == 0);
   REQUIRE(EstimatedWait(queue, starts, Tier{ 0 }, now) == 0);
   queue.Enqueue(MakeRequest(31, 0, "teller", "a", now), now);
@@ -176,13 +178,13 @@
     EstimatedWait(queue, starts, review, now + std::chrono::hours(24))));
 }
 
-// A class whose oldest request is beyond its bound is still given newcomers,
-// which are timely and go before the late ones; these wait without end.
-TEST_CASE("a class beyond its bound takes no newcomers, others do")
+// While the oldest request of a class is beyond its bound, admitted requests of
+// the class would start before the late ones, which would wait without end.
+TEST_CASE("a class beyond its bound refuses arrivals, other classes do not")
 {
   EarlyRefusal refusal = *EarlyRefusal::Create({});
   auto starts = *WaitEstimator::Create(seconds(5));
-  RequestQueue queue = MakeQueue(kRoomy);
+  RequestQueue queue = MakeQueue(kAmpleBounds);
   const QueuedRequest review = MakeRequest(1000, 2, "review", "a");
   const QueuedRequest note = MakeRequest(1001, 2, "note", "a");
   TimePoint now = kStart;
@@ -191,12 +193,13 @@
     starts.OnStart(review, now);
   }
   queue.Enqueue(MakeRequest(1, 2, "review", "a", now), now);
-  const auto refuses = [&](const QueuedRequest& aNewcomer, TimePoint aAt) {
+  const auto refuses = [&](const QueuedRequest& aArrival, TimePoint aAt) {
     starts.OnStart(review, aAt);
-    return refusal.Refuses(queue, starts, aNewcomer, seconds(600), aAt);
+    return refusal.Refuses(queue, starts, aArrival, seconds(600), aAt);
   };
   REQUIRE_FALSE(refuses(review, now));
-  // The bound is 60 s. 20 start a second: 100 are 5 s, 500 are 25 s.
+  // The bound is 60 s. At 20 starts per second, 100 requests take 5 s and 500
+  // take 25 s.
   for (std::uint64_t sequence = 2; sequence <= 100; ++sequence) {
     queue.Enqueue(MakeRequest(sequence, 2, "review", "a", now), now);
   }
@@ -207,32 +210,33 @@
   REQUIRE(refuses(review, now));
   REQUIRE(refuses(review, now + seconds(61)));
   REQUIRE_FALSE(refuses(note, now + seconds(61)));
-  // One waits and 20 start in a second: not within a millisecond.
+  // At 20 starts per second, a request behind another does not start in 1 ms.
   REQUIRE(refusal.Refuses(queue, starts, review, milliseconds(1), now));
   REQUIRE_FALSE(EarlyRefusal::Create({ 0 }).ok());
 }
 
-// One of two servers stops. The other starts a little more than comes, yet
-// after a burst of a second newcomers are refused that it would have started
-// well within the class's bound. Where more comes than it starts they still
-// are.
-TEST_CASE("a server that keeps up refuses no burst", "[refusal]")
+// Guards against refusals after a short burst (e.g. when another server stops)
+// by a server that starts requests at least as fast as they arrive and would
+// start these well within the class's bound. At a higher arrival rate it must
+// refuse.
+TEST_CASE("a server that keeps up with arrivals admits a burst", "[refusal]")
 {
   EarlyRefusal refusal = *EarlyRefusal::Create({});
   auto starts = *WaitEstimator::Create(seconds(5));
-  RequestQueue queue = MakeQueue(kRoomy);
+  RequestQueue queue = MakeQueue(kAmpleBounds);
   const QueuedRequest review = MakeRequest(1000, 2, "review", "a");
   TimePoint now = kStart;
   std::uint64_t sequence = 0;
   int refused = 0;
-  // 20 start a second; the bound is 60 s, a quarter of it is 300 waiting.
-  const auto play = [&](Duration aLength, int aComing) {
+  // At 20 starts per second, a quarter of the 60 s bound is 300 queued
+  // requests.
+  const auto simulate = [&](Duration aLength, int aArrivals) {
     refused = 0;
     for (const TimePoint end = now + aLength; now < end;
          now += milliseconds(50)) {
       starts.OnStart(review, now);
       queue.Dequeue(now);
-      for (int i = 0; i < aComing; ++i) {
+      for (int i = 0; i < aArrivals; ++i) {
         if (refusal.Refuses(queue, starts, review, seconds(600), now)) {
           ++refused;
         } else {
@@ -241,28 +245,28 @@
       }
     }
   };
-  play(seconds(20), 1);
+  simulate(seconds(20), 1);
   for (int i = 0; i < 310; ++i) {
     queue.Enqueue(MakeRequest(++sequence, 2, "review", "a", now), now);
   }
-  play(seconds(20), 1);
+  simulate(seconds(20), 1);
   const int afterBurst = refused;
-  play(seconds(20), 1);
+  simulate(seconds(20), 1);
   CHECK(refused == 0);
-  INFO("refused while the burst counted: " << afterBurst);
-  play(seconds(30), 2);
+  INFO("refused in the 20 s after the burst: " << afterBurst);
+  simulate(seconds(30), 2);
   CHECK(refused > 300);
   CHECK(queue.Size() < 340);
   CHECK_FALSE(EarlyRefusal::Create({ .shareInBurst = 0.2 }).ok());
-  CHECK_FALSE(EarlyRefusal::Create({ .keepsUpWith = 0.9 }).ok());
+  CHECK_FALSE(EarlyRefusal::Create({ .maxArrivalsPerStart = 0.9 }).ok());
 }
 
-// A sidecar that has just started has few starts to tell a rate by, and must
-// not refuse what the server could serve.
-TEST_CASE("a young estimate is not too low")
+// A sidecar that has just started has measured few starts. Too low a start rate
+// would make it refuse requests that its server could serve.
+TEST_CASE("the start rate is not underestimated after few starts")
 {
   auto starts = *WaitEstimator::Create(seconds(10));
-  RequestQueue queue = MakeQueue(kRoomy);
+  RequestQueue queue = MakeQueue(kAmpleBounds);
   const QueuedRequest note = MakeRequest(1000, 2, "note", "a");
   TimePoint now = kStart;
   for (int start = 0; start < 10; ++start) {
@@ -272,7 +276,7 @@
   REQUIRE(starts.StartRate(now) > 8);
 }
 
-TEST_CASE("the refused are told to come back spread out")
+TEST_CASE("the retry delay of refused requests is clamped and jittered")
 {
   REQUIRE(RetryAfter(4, 0) == milliseconds(2000));
   REQUIRE(RetryAfter(4, 0.5) == milliseconds(4000));
--- a/test/SchedulingFairness.cpp
+++ b/test/SchedulingFairness.cpp
@@ -17,12 +17,14 @@
 constexpr std::uint32_t kLongestAnswer = 600;
 constexpr std::size_t kRunning = 4;
 
-/// How far apart two that always wait may be: one charge, and twice what the
-/// estimates of the running ones can be off by.
+/// Bound on the difference of tokens served between two backlogged parties of
+/// weight 1: the largest charge of one request, plus twice the largest error of
+/// the estimates of the running requests.
 constexpr double kServedBound =
   kLongestPrompt + RequestQueue::kOutputTokenCost * kLongestAnswer +
   2 * RequestQueue::kOutputTokenCost * kLongestAnswer * kRunning;
 
+/// One customer of one class, and the lengths of its requests in tokens.
 struct Party
 {
   const char* className;
@@ -31,18 +33,18 @@
   double customerWeight;
   std::uint32_t longestPrompt;
   std::uint32_t longestAnswer;
-  /// Answers are all short for a while, then all long, and so on.
-  bool changing = false;
+  /// Answers alternate between phases of all short and all long ones.
+  bool alternating = false;
 };
 
-/// A server with a few slots and parties that always have something waiting.
-class Backlog
+/// A server with a few slots, and parties that are continuously backlogged.
+class BackloggedServer
 {
 public:
-  explicit Backlog(const std::vector<Party>& aParties)
+  explicit BackloggedServer(const std::vector<Party>& aParties)
     : parties(aParties)
     , served(aParties.size(), 0)
-    , queue(MakeQueue(kRoomy))
+    , queue(MakeQueue(kAmpleBounds))
   {
     for (std::size_t index = 0; index < aParties.size(); ++index) {
       this->Refill(index);
@@ -50,7 +52,8 @@
     }
   }
 
-  /// Starts one, and ends the one that runs longest when all slots are taken.
+  /// Starts a request; when all slots are taken, finishes the one started
+  /// first.
   void StartOne()
   {
     const auto started = this->queue.Dequeue(kStart);
@@ -71,13 +74,14 @@
     this->Refill(party);
   }
 
+  /// Tokens served to the party, divided by its weights.
   double Served(std::size_t aParty) const { return this->served.at(aParty); }
 
 private:
   std::uint32_t DrawAnswer(const Party& aParty)
   {
     const std::uint64_t phase = 100;
-    if (aParty.changing) {
+    if (aParty.alternating) {
       return this->sequence / phase % 2 == 0 ? 1 : aParty.longestAnswer;
     }
     return *rc::gen::inRange<std::uint32_t>(1, aParty.longestAnswer + 1);
@@ -105,59 +109,57 @@
   std::uint64_t sequence = 0;
 };
 
-/// Runs \p aStarts starts and checks the two parties after each.
+/// Starts 400 requests and checks the fairness bound between the two parties
+/// after each.
 void
-CheckServedAlike(const std::vector<Party>& aParties)
+CheckFairness(const std::vector<Party>& aParties)
 {
-  Backlog backlog(aParties);
-  const double least =
+  BackloggedServer server(aParties);
+  const double minWeight =
     std::min(aParties[0].classWeight * aParties[0].customerWeight,
              aParties[1].classWeight * aParties[1].customerWeight);
   const int starts = 400;
   for (int start = 0; start < starts; ++start) {
-    backlog.StartOne();
-    RC_ASSERT(std::abs(backlog.Served(0) - backlog.Served(1)) <=
-              kServedBound / least);
+    server.StartOne();
+    RC_ASSERT(std::abs(server.Served(0) - server.Served(1)) <=
+              kServedBound / minWeight);
   }
 }
 
 } // namespace
 
-// A customer with long prompts and answers takes most of the server although
-// it has as many requests waiting as the other: a count of requests would give
-// each every second start. Lengths are known only at the end.
-TEST_CASE("two backlogged customers are served alike by tokens")
+// Fairness by number of requests would give a customer with long prompts and
+// answers most of the server's time. Answer lengths are known only at the end.
+TEST_CASE("two backlogged customers get equal service by tokens")
 {
   rc::prop("large and small requests", [] {
-    CheckServedAlike(
-      { { "review", "large", 1, 1, kLongestPrompt, kLongestAnswer },
-        { "review", "small", 1, 1, 50, 40 } });
+    CheckFairness({ { "review", "large", 1, 1, kLongestPrompt, kLongestAnswer },
+                    { "review", "small", 1, 1, 50, 40 } });
   });
-  rc::prop("lengths that change faster than they are learned", [] {
-    CheckServedAlike({ { "review", "changing", 1, 1, 50, kLongestAnswer, true },
-                       { "review", "small", 1, 1, 50, 40 } });
+  rc::prop("lengths that change faster than the estimator adapts", [] {
+    CheckFairness({ { "review", "alternating", 1, 1, 50, kLongestAnswer, true },
+                    { "review", "small", 1, 1, 50, 40 } });
   });
   rc::prop("by customer weight", [] {
-    CheckServedAlike(
-      { { "review", "heavy", 1, 3, kLongestPrompt, kLongestAnswer },
-        { "review", "light", 1, 1, kLongestPrompt, 40 } });
+    CheckFairness({ { "review", "heavy", 1, 3, kLongestPrompt, kLongestAnswer },
+                    { "review", "light", 1, 1, kLongestPrompt, 40 } });
   });
 }
 
-TEST_CASE("two backlogged classes are served alike by tokens")
+TEST_CASE("two backlogged classes get equal service by tokens")
 {
   rc::prop("by class weight", [] {
-    CheckServedAlike({ { "review", "a", 2, 1, kLongestPrompt, kLongestAnswer },
-                       { "applicant", "a", 1, 1, 50, 40 } });
+    CheckFairness({ { "review", "a", 2, 1, kLongestPrompt, kLongestAnswer },
+                    { "applicant", "a", 1, 1, 50, 40 } });
   });
 }
 
-// One customer idles while the other works, then comes back. Were its counter
-// left behind, it would have the server to itself until it had caught up, and
-// the other's callers would see their waits grow by that much.
-TEST_CASE("idling earns no claim")
+// One customer is idle while the other is served, then returns. If its fairness
+// counter were not raised, it would get every start until it had caught up, and
+// the other customer's requests would wait that much longer.
+TEST_CASE("an idle customer accumulates no credit")
 {
-  RequestQueue queue = MakeQueue(kRoomy);
+  RequestQueue queue = MakeQueue(kAmpleBounds);
   std::uint64_t sequence = 0;
   const auto add = [&](const char* aCustomer) {
     queue.Enqueue(MakeRequest(++sequence, 1, "desk", aCustomer), kStart);
@@ -178,9 +180,10 @@
   REQUIRE(steady >= together / 2 - 1);
 }
 
-// A burst of one class (then of one customer) fills the queue. The others'
-// callers must neither be told "queue full" nor wait behind the burst.
-TEST_CASE("a burst sheds and delays only its own")
+// A burst of another class, or of another customer of the class, fills the
+// queue. Requests of the other customer must neither be refused nor wait behind
+// it.
+TEST_CASE("a burst causes refusals and delays only to its own customer")
 {
   const std::uint32_t classBound = GENERATE(50U, 100000U);
   RequestQueue queue = MakeQueue({ 10000, 1000, 0.1 });
@@ -210,31 +213,31 @@
   REQUIRE(smallStarts >= others - 1);
 }
 
-// A higher tier's newcomer arrives when lower tiers fill the memory.
-TEST_CASE("memory is taken from the lowest tier, from who holds most")
+// A request of a higher tier arrives when lower tiers fill the memory.
+TEST_CASE("eviction takes from the lowest tier and its largest holder")
 {
   RequestQueue queue = MakeQueue({ 100, 100, 0.1 });
-  QueuedRequest modest = MakeRequest(1, 3, "note", "modest");
+  QueuedRequest smallest = MakeRequest(1, 3, "note", "smallest");
   QueuedRequest middle = MakeRequest(2, 2, "review", "a");
-  queue.Enqueue(modest, kStart);
+  queue.Enqueue(smallest, kStart);
   queue.Enqueue(middle, kStart);
   for (const std::uint64_t sequence : { 3, 4, 5 }) {
-    QueuedRequest hog = MakeRequest(sequence, 3, "note", "hog");
-    hog.enqueued = kStart + milliseconds(sequence);
-    hog.bytes = 20;
-    REQUIRE(queue.Enqueue(hog, kStart).verdict == EnqueueVerdict::Queued);
+    QueuedRequest largest = MakeRequest(sequence, 3, "note", "largest");
+    largest.enqueued = kStart + milliseconds(sequence);
+    largest.bytes = 20;
+    REQUIRE(queue.Enqueue(largest, kStart).verdict == EnqueueVerdict::Queued);
   }
   QueuedRequest teller = MakeRequest(6, 0, "teller", "a");
   teller.bytes = 50;
   const EnqueueResult result = queue.Enqueue(teller, kStart);
   REQUIRE(result.verdict == EnqueueVerdict::Queued);
-  // The newest of the one that holds most goes first.
+  // The newest request of the customer that holds the most is evicted first.
   REQUIRE(result.evicted == std::vector<RequestId>{ { 1, 5 }, { 1, 4 } });
 }
 
-TEST_CASE("customers that left are forgotten in the end")
+TEST_CASE("the state of idle customers is bounded")
 {
-  RequestQueue queue = MakeQueue(kRoomy);
+  RequestQueue queue = MakeQueue(kAmpleBounds);
   const int customers = 20000;
   for (int customer = 1; customer <= customers; ++customer) {
     const std::string name = std::to_string(customer);
@@ -245,6 +248,6 @@
     const auto started = queue.Dequeue(kStart);
     queue.OnFinished(started->className, started->customer, 0);
   }
-  REQUIRE(queue.RememberedCustomers() < 5000);
+  REQUIRE(queue.TrackedFlows() < 5000);
   REQUIRE(queue.Lengths().Size() < 5000);
 }
--- a/test/SchedulingLimit.cpp
+++ b/test/SchedulingLimit.cpp
@@ -10,7 +10,7 @@
 
 constexpr TimePoint kStart = TimePoint() + std::chrono::hours(1);
 
-/// A server that always has work: as much in flight as the limit allows.
+/// A saturated server: always as many requests in flight as the limit allows.
 class SaturatedServer
 {
 public:
@@ -25,14 +25,15 @@
 
   void SetPrefill(Duration aPerToken) { this->engine.SetPrefill(aPerToken); }
 
-  void AnswerShortly() { this->shortness = 5; }
+  /// Makes later answers a fifth as long.
+  void ShortenAnswers() { this->answerDivisor = 5; }
 
-  /// From now on every second request is of a lower tier, which the engine
-  /// admits and prefills last.
-  void HoldBackOdd() { this->holdsBack = true; }
+  /// Gives every second later request a lower priority, which the engine admits
+  /// and prefills last.
+  void LowerPriorityOfOdd() { this->mixedPriorities = true; }
 
-  /// Runs for \p aSpan of the model's time. \return mean limit of its last
-  /// third.
+  /// Simulates \p aSpan.
+  /// \return mean limit over the last third of it.
   double Run(Duration aSpan)
   {
     const TimePoint end = this->now + aSpan;
@@ -54,15 +55,16 @@
   void StepOnce()
   {
     while (this->limit.HasRoom()) {
-      this->draw = this->draw * 1664525U + 1013904223U;
-      const std::uint32_t prompt = 128 + (this->draw >> 8U) % 128;
+      this->randomState = this->randomState * 1664525U + 1013904223U;
+      const std::uint32_t prompt = 128 + (this->randomState >> 8U) % 128;
       const std::uint32_t answer =
-        (50 + (this->draw >> 16U) % 100) / this->shortness;
+        (50 + (this->randomState >> 16U) % 100) / this->answerDivisor;
       this->engine.Start({ prompt, ++this->started },
                          prompt,
                          answer,
                          this->now,
-                         this->holdsBack && this->started % 2 == 1 ? 1 : 0);
+                         this->mixedPriorities && this->started % 2 == 1 ? 1
+                                                                         : 0);
       this->limit.OnStart(this->now);
     }
     this->now = this->engine.Step(this->now);
@@ -92,16 +94,16 @@
   AdaptiveConcurrencyLimit limit;
   TimePoint now = kStart;
   std::uint64_t started = 0;
-  std::uint32_t draw = 1;
-  std::uint32_t shortness = 1;
-  bool holdsBack = false;
+  std::uint32_t randomState = 1;
+  std::uint32_t answerDivisor = 1;
+  bool mixedPriorities = false;
 };
 
 } // namespace
 
-// More requests than the server has slots wait inside it, in its own order: a
-// teller behind notes. The limit must settle about the 32 slots.
-TEST_CASE("the limit settles about the server's slots")
+// Requests beyond the server's 32 slots queue inside it in its own order, with
+// high tiers behind low ones. The limit must converge to about 32.
+TEST_CASE("the limit converges to the number of server slots")
 {
   SaturatedServer server({}, {});
   const double settled = server.Run(seconds(20));
@@ -109,8 +111,8 @@
   REQUIRE(settled < 40);
 }
 
-// The step time binds before the slots do: 6 ms + 0.1 ms a sequence meets a
-// target of 8 ms with 20 sequences.
+// The step time limits the load before the slots do: 6 ms plus 0.1 ms per
+// sequence reaches the target of 8 ms at 20 sequences.
 TEST_CASE("the limit keeps the time between tokens at its target")
 {
   AdaptiveConcurrencyLimit::Options options;
@@ -122,10 +124,10 @@
   REQUIRE(server.Limit().StepTime() <= milliseconds(8));
 }
 
-// A server becomes five times slower while saturated, then recovers. Its
-// callers see 46 ms between tokens for as long as the limit stays where it was,
-// and a fifth of its worth for as long as the limit stays down after.
-TEST_CASE("the limit follows a straggler down and back up")
+// A saturated server becomes five times slower, then recovers. A limit that
+// stays high gives 46 ms between tokens; one that stays low afterwards wastes
+// four fifths of the capacity.
+TEST_CASE("the limit follows a slow server down and back up")
 {
   SaturatedServer server({}, {});
   const double before = server.Run(seconds(20));
@@ -138,9 +140,9 @@
   REQUIRE(after > 0.8 * before);
 }
 
-// At 20 times slower no limit meets the target. Held at the minimum, the server
-// would give a sixteenth of what it can, for no gain.
-TEST_CASE("a server that misses its target unloaded keeps some work")
+// At 20 times slower no limit meets the target. At the minimum limit the server
+// would give a sixteenth of its throughput without meeting the target.
+TEST_CASE("a server that misses its target unloaded still gets load")
 {
   SaturatedServer server({}, {});
   server.Run(seconds(20));
@@ -150,25 +152,25 @@
   REQUIRE(server.Run(seconds(15)) > 24);
 }
 
-// Steps are five times slower, yet 46 ms meet a target of 60 ms: there is no
-// reason to give the server less. Its first tokens take five times as long, as
-// its steps do; taken for waiting, they would cost most of its worth.
-TEST_CASE("slow steps are not taken for waiting inside")
+// Steps are five times slower, but 46 ms still meet the target of 60 ms. First
+// tokens take five times as long for the same reason; taken for queueing inside
+// the server, they would cost most of its capacity.
+TEST_CASE("slow steps are not mistaken for queueing inside the server")
 {
   AdaptiveConcurrencyLimit::Options options;
   options.tokenTarget = milliseconds(60);
   SaturatedServer server({}, options);
-  server.AnswerShortly();
+  server.ShortenAnswers();
   server.SetPrefill(Duration(1));
   server.Run(seconds(20));
   server.SetSlowdown(5);
   REQUIRE(server.Run(seconds(9)) > 24);
 }
 
-// After a first lowering the signs still tell of the load before it. Lowered on
-// each of them, the limit falls to its minimum, and until the long answers that
-// run have ended nothing starts, not even of the highest tier.
-TEST_CASE("the limit waits for its last lowering to take effect")
+// After a decrease, samples still reflect the load before it. If each lowered
+// the limit again, it would fall to the minimum, and nothing, not even of the
+// highest tier, would start until the long answers in flight have ended.
+TEST_CASE("the limit is not lowered again before a decrease takes effect")
 {
   AdaptiveConcurrencyLimit::Options options;
   options.initial = 32;
@@ -192,10 +194,10 @@
   REQUIRE(limit.Limit() == 20);
 }
 
-// Prefilling becomes far slower for good, as with another model. The lowest
-// times from before make every first token look late; kept, they would hold the
-// limit at 15 of the 32 slots.
-TEST_CASE("a server that is slower for good is learned anew")
+// Prefill becomes much slower permanently, as after a change of model. If the
+// old baselines were kept, every first token would look delayed, which would
+// hold the limit at 15 of the 32 slots.
+TEST_CASE("the baselines adapt to a permanently slower server")
 {
   SaturatedServer server({}, {});
   server.Run(seconds(20));
@@ -204,19 +206,19 @@
   REQUIRE(server.Run(seconds(120)) > 20);
 }
 
-// An engine that honours priorities holds the lowest tier back inside. As those
-// have no first token, no time tells of them; the limit would rise without end
-// and the tellers' requests compete with hundreds inside.
-TEST_CASE("requests that are held back inside bound the limit")
+// An engine with priorities holds requests of low priority back. These have no
+// first token, so times to first token don't show them: the limit would rise
+// without bound, and high tiers would compete with hundreds of requests inside.
+TEST_CASE("requests held back inside the server bound the limit")
 {
   SaturatedServer server({}, {});
-  server.HoldBackOdd();
+  server.LowerPriorityOfOdd();
   server.Run(seconds(30));
   REQUIRE(server.Run(seconds(30)) < 45);
 }
 
-// Callers leave before their first token and nobody tells the limit so.
-TEST_CASE("starts without an end are forgotten")
+// Requests end before their first token but are not reported as such.
+TEST_CASE("starts whose missing first token is not reported expire")
 {
   auto limit = *AdaptiveConcurrencyLimit::Create({});
   TimePoint now = kStart;
@@ -248,7 +250,7 @@
   REQUIRE(limit.Limit() >= 8);
 }
 
-TEST_CASE("an idle server's limit stays where it is")
+TEST_CASE("the limit does not change while it is not reached")
 {
   auto limit = *AdaptiveConcurrencyLimit::Create({});
   const std::uint32_t before = limit.Limit();
@@ -270,7 +272,8 @@
   options.maximum = 12;
   options.tokenTarget = milliseconds(1);
   SaturatedServer slow({}, options);
-  // Misses its target always: from the minimum to a quarter slower.
+  // Never meets its target, so the limit allows steps a quarter slower than at
+  // the minimum.
   REQUIRE(slow.Run(seconds(5)) >= 2);
   options.tokenTarget = seconds(1);
   SaturatedServer fast({}, options);
--- a/test/SchedulingQueue.cpp
+++ b/test/SchedulingQueue.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-/// What the queue should hold, in the plainest form: every check scans it.
+/// Reference model of the queue; every check scans all requests.
 class QueueModel
 {
 public:
@@ -82,12 +82,13 @@
   };
 };
 
-/// Watches that no overdue request waits longer than RequestQueue promises.
-class StarvationWatch
+/// Checks the starvation bound that RequestQueue documents.
+class StarvationChecker
 {
 public:
-  /// Before a dequeue at \p aNow: learns who is overdue with whom.
-  void Note(const std::map<RequestId, QueuedRequest>& aWaiting, TimePoint aNow)
+  /// Records the overdue requests and their peers before a dequeue at \p aNow.
+  void RecordDequeue(const std::map<RequestId, QueuedRequest>& aWaiting,
+                     TimePoint aNow)
   {
     std::map<ClassName, std::set<CustomerName>> overdue;
     for (const auto& [id, request] : aWaiting) {
@@ -99,7 +100,7 @@
       if (!IsOverdue(request, aNow)) {
         continue;
       }
-      Peers& peers = this->seen[id];
+      Peers& peers = this->overduePeers[id];
       ++peers.dequeues;
       peers.classes = std::max(peers.classes, overdue.size());
       peers.customers =
@@ -108,11 +109,12 @@
     }
   }
 
-  /// Whether a request has had no more dequeues to wait for than promised.
-  bool KeptBound(const RequestId& aId, double aShare) const
+  /// Whether the number of dequeues since the request became overdue is within
+  /// the bound.
+  bool IsWithinBound(const RequestId& aId, double aShare) const
   {
-    const auto found = this->seen.find(aId);
-    if (found == this->seen.end()) {
+    const auto found = this->overduePeers.find(aId);
+    if (found == this->overduePeers.end()) {
       return true;
     }
     const Peers& peers = found->second;
@@ -126,6 +128,9 @@
   }
 
 private:
+  /// Dequeues since a request became overdue, and the largest numbers of
+  /// overdue classes, of overdue customers of its class and its largest rank by
+  /// age.
   struct Peers
   {
     std::uint64_t dequeues = 0;
@@ -148,7 +153,7 @@
     return rank;
   }
 
-  std::map<RequestId, Peers> seen;
+  std::map<RequestId, Peers> overduePeers;
 };
 
 constexpr std::array<const char*, 5> kClassNames{ "teller",
@@ -159,7 +164,8 @@
 constexpr std::array<Tier, 5> kClassTiers{ 0, 1, 1, 2, 4 };
 constexpr std::array<const char*, 3> kCustomerNames{ "a", "b", "c" };
 
-/// A queue beside its model; every step checks the promises.
+/// A queue and its reference model; every call checks the documented
+/// guarantees.
 class CheckedQueue
 {
 public:
@@ -194,7 +200,7 @@
   void Dequeue()
   {
     const auto& waiting = this->model.waiting;
-    this->watch.Note(waiting, this->now);
+    this->starvation.RecordDequeue(waiting, this->now);
     const QueuedRequest* peeked = this->queue.Peek(this->now);
     const std::optional<RequestId> next =
       peeked == nullptr ? std::nullopt : std::optional(peeked->id);
@@ -208,7 +214,8 @@
     RC_ASSERT(waiting.contains(started->id));
     this->CheckOrder(*started);
     for (const auto& [id, request] : waiting) {
-      RC_ASSERT(this->watch.KeptBound(id, this->model.bounds.overdueShare));
+      RC_ASSERT(
+        this->starvation.IsWithinBound(id, this->model.bounds.overdueShare));
     }
     this->model.waiting.erase(started->id);
     this->queue.OnFinished(
@@ -240,8 +247,7 @@
   const QueueModel& Model() const { return this->model; }
 
 private:
-  void CheckEvicted(const QueuedRequest& aNewcomer,
-                    const EnqueueResult& aResult)
+  void CheckEvicted(const QueuedRequest& aArrival, const EnqueueResult& aResult)
   {
     RC_ASSERT(aResult.evicted.empty() ||
               aResult.verdict == EnqueueVerdict::Queued);
@@ -249,9 +255,9 @@
       const auto victim = this->model.waiting.find(id);
       RC_ASSERT(victim != this->model.waiting.end());
       const Tier tier = victim->second.tier;
-      RC_ASSERT(tier > aNewcomer.tier);
+      RC_ASSERT(tier > aArrival.tier);
       this->model.waiting.erase(victim);
-      // Lowest first: nobody of a still lower tier was spared.
+      // Lowest tier first: no request of a still lower tier is left.
       RC_ASSERT(this->model.CountIf(
                   [&](const auto& aOther) { return aOther.tier > tier; }) == 0);
     }
@@ -265,7 +271,7 @@
       return;
     }
     RC_ASSERT(aStarted.startedOverdue);
-    RC_ASSERT(StarvationWatch::IsOverdue(aStarted, this->now));
+    RC_ASSERT(StarvationChecker::IsOverdue(aStarted, this->now));
     ++this->displacing;
     RC_ASSERT(static_cast<double>(this->displacing) <=
               1 + this->model.bounds.overdueShare *
@@ -301,10 +307,11 @@
 
   QueueModel model;
   RequestQueue queue;
-  StarvationWatch watch;
+  StarvationChecker starvation;
   TimePoint now = kStart;
   std::uint64_t sequence = 0;
   std::uint64_t dequeues = 0;
+  /// Starts ahead of a higher tier.
   std::uint64_t displacing = 0;
 };
 
@@ -316,14 +323,13 @@
 
 } // namespace
 
-// The caller of a higher tier is told "queue full" though room is taken up by
-// lower tiers; or a request is lost from the queue, or started twice; or a
-// lower tier goes ahead of a higher beyond the overdue share. Random arrivals,
-// starts, removals and pauses against a model that scans, with bounds so tight
-// that all of them bind.
-TEST_CASE("the queue keeps its promises over any sequence of calls")
+// Guards against refusing a request while lower tiers hold the room, losing or
+// starting a request twice, and starting lower tiers ahead of higher ones
+// beyond the overdue share. Random calls against a reference model, with limits
+// tight enough that all of them apply.
+TEST_CASE("the queue agrees with its reference model for any sequence of calls")
 {
-  rc::prop("against a model", [] {
+  rc::prop("random calls", [] {
     const double share = *rc::gen::element(0.1, 0.25, 0.3, 1.0);
     CheckedQueue checked({ 400, 20, share });
     const int calls = 200;
@@ -345,13 +351,13 @@
   });
 }
 
-// An applicant waits for ever because tellers and desks keep the server busy.
-// An adversary refills the higher tiers before each start, with classes and
-// customers of its choice, in a queue with room for all; the watch holds every
-// request to ceil(1/s)*C*F*k starts from when it became overdue.
+// A low tier would starve while higher tiers keep the server busy. An adversary
+// refills the higher tiers before each start, with random classes and
+// customers, in a queue with room for all. Every request must start within
+// ceil(1/s)*C*F*k starts after it became overdue.
 TEST_CASE("no class starves while higher tiers always have work")
 {
-  rc::prop("the stated bound on starts", [] {
+  rc::prop("starvation bound", [] {
     const double share = *rc::gen::element(0.1, 0.25, 0.5);
     CheckedQueue checked({ 1U << 20U, 1000, share });
     for (int customer = 0; customer < 3; ++customer) {
@@ -367,7 +373,7 @@
                         static_cast<std::size_t>(Draw(3)),
                         1);
       }
-      // The top tier never runs dry.
+      // The top tier always has a queued request.
       checked.Enqueue(0, static_cast<std::size_t>(Draw(3)), 1);
       checked.Dequeue();
       checked.Advance(milliseconds(Draw(4)));
@@ -377,7 +383,7 @@
   });
 }
 
-TEST_CASE("bounds that hold nothing are refused")
+TEST_CASE("unusable limits and unknown policies are rejected")
 {
   REQUIRE_FALSE(RequestQueue::Create({ 0, 1, 0.1 }).ok());
   REQUIRE_FALSE(RequestQueue::Create({ 1, 0, 0.1 }).ok());
@@ -385,7 +391,7 @@
   REQUIRE_FALSE(RequestQueue::Create({ 1, 1, 1.5 }).ok());
   REQUIRE_FALSE(ParseQueuePolicy("lifo").ok());
   for (const char* policy : { "tiered", "fifo", "strict" }) {
-    const auto queue = CreateQueue(*ParseQueuePolicy(policy), kRoomy);
+    const auto queue = CreateQueue(*ParseQueuePolicy(policy), kAmpleBounds);
     REQUIRE(queue.ok());
     REQUIRE(
       (*queue)->Enqueue(MakeRequest(1, 0, "teller", "a"), kStart).verdict ==
@@ -394,28 +400,28 @@
   }
 }
 
-TEST_CASE("an id waits once")
+TEST_CASE("an id that is already queued is refused")
 {
-  RequestQueue queue = MakeQueue(kRoomy);
+  RequestQueue queue = MakeQueue(kAmpleBounds);
   queue.Enqueue(MakeRequest(1, 0, "teller", "a"), kStart);
   REQUIRE(queue.Enqueue(MakeRequest(1, 0, "teller", "a"), kStart).verdict ==
           EnqueueVerdict::RefusedClassBound);
   REQUIRE(queue.Size() == 1);
 }
 
-// A caller whose target is already missed holds up one that could still be
-// answered in time. Arrivals in an order unlike that of their targets; the
-// first has become late when slots come free.
-TEST_CASE("within a customer the timely go by slack and the late behind them")
+// A request that has already missed its target must not delay one that can
+// still meet it. Requests arrive in another order than that of their targets,
+// and the first is late when slots become free.
+TEST_CASE("a customer's requests start by slack, late ones last")
 {
-  RequestQueue queue = MakeQueue(kRoomy);
+  RequestQueue queue = MakeQueue(kAmpleBounds);
   const std::array<int, 4> targets{ 10, 400, 300, 200 };
   for (std::size_t index = 0; index < targets.size(); ++index) {
     QueuedRequest request = MakeRequest(index, 0, "teller", "a");
     request.target = kStart + milliseconds(targets.at(index));
     queue.Enqueue(request, kStart);
   }
-  // A long prompt needs 350 ms to its first token: it is the most urgent.
+  // Its long prompt needs 350 ms to the first token, so it has the least slack.
   QueuedRequest longPrompt = MakeRequest(4, 0, "teller", "a");
   longPrompt.target = kStart + milliseconds(500);
   longPrompt.expectedFirstToken = milliseconds(350);
@@ -425,11 +431,11 @@
   }
 }
 
-// The late one would wait for as long as timely ones of its own customer keep
-// coming. Its class's bound passes; it must get its slot at once.
-TEST_CASE("a late request is served within its bound")
+// A late request would wait for as long as its customer sends requests that can
+// meet their target. Once it is overdue, it must get the next slot.
+TEST_CASE("a late request starts when it becomes overdue")
 {
-  RequestQueue queue = MakeQueue(kRoomy);
+  RequestQueue queue = MakeQueue(kAmpleBounds);
   QueuedRequest late = MakeRequest(0, 0, "teller", "a");
   late.target = kStart;
   late.maxWait = milliseconds(50);
@@ -439,19 +445,19 @@
   bool served = false;
   while (!served && now < kStart + seconds(1)) {
     now += milliseconds(10);
-    QueuedRequest timely = MakeRequest(++sequence, 0, "teller", "a", now);
-    queue.Enqueue(timely, now);
+    QueuedRequest onTime = MakeRequest(++sequence, 0, "teller", "a", now);
+    queue.Enqueue(onTime, now);
     served = queue.Dequeue(now)->id.sequence == 0;
   }
   REQUIRE(served);
   REQUIRE(Between(kStart, now) <= milliseconds(60));
 }
 
-// A preempted request comes back to a full class queue. Refusing it would throw
-// away what it has generated.
+// A preempted request returns when its class is at its bound. Refusing it would
+// discard the tokens it has generated.
 TEST_CASE("a resumed request is exempt from its class's bound")
 {
-  RequestQueue queue = MakeQueue(kRoomy);
+  RequestQueue queue = MakeQueue(kAmpleBounds);
   QueuedRequest first = MakeRequest(1, 0, "note", "a");
   first.classQueueBound = 1;
   queue.Enqueue(first, kStart);
@@ -461,16 +467,16 @@
           EnqueueVerdict::RefusedClassBound);
   second.resumed = true;
   REQUIRE(queue.Enqueue(second, kStart).verdict == EnqueueVerdict::Queued);
-  // The class is now beyond its bound; its newcomers stay out.
+  // The class is now beyond its bound; new requests are still refused.
   QueuedRequest third = MakeRequest(3, 0, "note", "a");
   third.classQueueBound = 1;
   REQUIRE(queue.Enqueue(third, kStart).verdict ==
           EnqueueVerdict::RefusedClassBound);
 }
 
-// Two operators' maps of tokens would order alike inputs unlike: a replayed
-// history must give the same decisions.
-TEST_CASE("equal calls give equal decisions")
+// Guards against decisions that depend on hash map iteration order or
+// addresses: a replayed sequence of calls must give the same decisions.
+TEST_CASE("equal sequences of calls give equal decisions")
 {
   const auto run = [] {
     RequestQueue queue = MakeQueue({ 4000, 200, 0.1 });
--- a/test/SchedulingSupport.h
+++ b/test/SchedulingSupport.h
@@ -20,7 +20,7 @@
   return *std::move(queue);
 }
 
-/// A request with room to spare in every bound.
+/// A request far below every bound.
 inline QueuedRequest
 MakeRequest(std::uint64_t aSequence,
             Tier aTier,
@@ -43,7 +43,8 @@
   return request;
 }
 
-inline constexpr QueueBounds kRoomy{ 1U << 30U, 1U << 20U, 0.1 };
+/// Limits that no test reaches.
+inline constexpr QueueBounds kAmpleBounds{ 1U << 30U, 1U << 20U, 0.1 };
 
 } // namespace dogwoodvale::testing
 
