--- a/dogwoodvale/src/Scheduling/AbstractRequestQueue.h
+++ b/dogwoodvale/src/Scheduling/AbstractRequestQueue.h
@@ -30,8 +30,8 @@
   virtual std::optional<QueuedRequest> Dequeue(TimePoint aNow) = 0;
 
   /// The request that Dequeue would return at \p aNow, without removing it;
-  /// nullptr when the queue is empty. Any change of the queue invalidates the
-  /// pointer.
+  /// nullptr when the queue is empty. Any change of the queue may invalidate
+  /// the pointer.
   virtual const QueuedRequest* Peek(TimePoint aNow) = 0;
 
   /// Removes a request, e.g. when its caller has disconnected. Returns false
