--- a/dogwoodvale/src/Placement/CacheBelief.cpp
+++ b/dogwoodvale/src/Placement/CacheBelief.cpp
@@ -8,39 +8,41 @@
 void
 CacheBelief::OnUsed(const InstanceName& aServer,
                     std::span<const PromptStep> aSteps,
-                    std::uint64_t aRoom)
+                    std::uint64_t aCapacity)
 {
   Cache& cache = this->caches[aServer];
-  // The first step last: of one prompt's steps the engine drops the end first.
+  // In reverse, so that the first step is the most recently used: the engine
+  // evicts the end of a prompt first.
   for (auto step = aSteps.rbegin(); step != aSteps.rend(); ++step) {
     Use(cache, *step);
   }
-  while (cache.order.size() > kMostSteps ||
-         (aRoom > 0 && cache.tokens > aRoom && cache.order.size() > 1)) {
-    DropOldest(cache);
+  while (
+    cache.steps.size() > kMaxSteps ||
+    (aCapacity > 0 && cache.tokens > aCapacity && cache.steps.size() > 1)) {
+    EvictOldest(cache);
   }
 }
 
 void
 CacheBelief::Use(Cache& aCache, const PromptStep& aStep)
 {
-  const auto known = aCache.places.find(aStep.hash);
-  if (known != aCache.places.end()) {
-    aCache.order.splice(aCache.order.begin(), aCache.order, known->second);
+  const auto known = aCache.positions.find(aStep.hash);
+  if (known != aCache.positions.end()) {
+    aCache.steps.splice(aCache.steps.begin(), aCache.steps, known->second);
     return;
   }
-  aCache.order.push_front(aStep);
-  aCache.places[aStep.hash] = aCache.order.begin();
+  aCache.steps.push_front(aStep);
+  aCache.positions[aStep.hash] = aCache.steps.begin();
   aCache.tokens += aStep.tokens;
 }
 
 void
-CacheBelief::DropOldest(Cache& aCache)
+CacheBelief::EvictOldest(Cache& aCache)
 {
-  const PromptStep& oldest = aCache.order.back();
+  const PromptStep& oldest = aCache.steps.back();
   aCache.tokens -= oldest.tokens;
-  aCache.places.erase(oldest.hash);
-  aCache.order.pop_back();
+  aCache.positions.erase(oldest.hash);
+  aCache.steps.pop_back();
 }
 
 void
@@ -59,7 +61,7 @@
   }
   std::uint32_t tokens = 0;
   for (const PromptStep& step : aSteps) {
-    if (!found->second.places.contains(step.hash)) {
+    if (!found->second.positions.contains(step.hash)) {
       break;
     }
     tokens += step.tokens;
@@ -70,34 +72,35 @@
 void
 CacheBelief::Seed(const InstanceName& aServer,
                   std::span<const PromptStep> aSteps,
-                  std::uint64_t aRoom)
+                  std::uint64_t aCapacity)
 {
   Cache& cache = this->caches[aServer];
   for (const PromptStep& step : aSteps) {
-    const bool isFull = cache.order.size() >= kMostSteps ||
-                        (aRoom > 0 && cache.tokens + step.tokens > aRoom);
+    const bool isFull =
+      cache.steps.size() >= kMaxSteps ||
+      (aCapacity > 0 && cache.tokens + step.tokens > aCapacity);
     if (isFull) {
       return;
     }
-    if (!cache.places.contains(step.hash)) {
-      cache.order.push_back(step);
-      cache.places[step.hash] = std::prev(cache.order.end());
+    if (!cache.positions.contains(step.hash)) {
+      cache.steps.push_back(step);
+      cache.positions[step.hash] = std::prev(cache.steps.end());
       cache.tokens += step.tokens;
     }
   }
 }
 
 std::vector<std::pair<InstanceName, std::vector<PromptStep>>>
-CacheBelief::Latest(std::size_t aMost) const
+CacheBelief::Latest(std::size_t aMaxSteps) const
 {
   std::vector<std::pair<InstanceName, std::vector<PromptStep>>> latest;
   for (const auto& [server, cache] : this->caches) {
     const auto count =
-      static_cast<std::ptrdiff_t>(std::min(aMost, cache.order.size()));
+      static_cast<std::ptrdiff_t>(std::min(aMaxSteps, cache.steps.size()));
     latest.emplace_back(
       server,
-      std::vector<PromptStep>(cache.order.begin(),
-                              std::next(cache.order.begin(), count)));
+      std::vector<PromptStep>(cache.steps.begin(),
+                              std::next(cache.steps.begin(), count)));
   }
   return latest;
 }
@@ -107,7 +110,7 @@
 {
   std::size_t count = 0;
   for (const auto& [server, cache] : this->caches) {
-    count += cache.order.size();
+    count += cache.steps.size();
   }
   return count;
 }
--- a/dogwoodvale/src/Placement/CacheBelief.h
+++ b/dogwoodvale/src/Placement/CacheBelief.h
@@ -13,59 +13,59 @@
 
 namespace dogwoodvale {
 
-/// Which steps of prompts each backend server's cache probably holds, from what
-/// was sent there.
+/// Estimates which prompt steps each backend server's prefix cache holds, from
+/// the requests that were sent there.
 ///
-/// A model engine keeps what it has read until it needs the memory, and then
-/// drops what was used longest ago. In a burst that is a matter of seconds: a
-/// request that is sent to a server for a part that is long gone there waits
-/// behind its queue and is read in full all the same. So each server's cache
-/// is followed as the engine runs it, by order of use and by its size.
+/// A model engine caches the prompts that it has prefilled and evicts the least
+/// recently used parts when it needs the memory, in a burst within seconds. A
+/// request sent to a server for a part that is evicted by then waits in its
+/// queue and is prefilled in full all the same. So each server's cache is
+/// modelled as the engine runs it, with its capacity and eviction order.
 ///
-/// A hint only: what is wrong here costs a read, never an answer.
+/// The estimate is a hint: an error costs an additional prefill and does not
+/// change an answer.
 class CacheBelief
 {
 public:
-  /// The server reads a prompt, or uses what it holds of it.
-  /// \param aRoom tokens that its cache takes; 0 while unknown.
+  /// The server prefills a prompt or uses the cached part of it.
+  /// \param aCapacity capacity of its cache in tokens; 0 while unknown.
   void OnUsed(const InstanceName& aServer,
               std::span<const PromptStep> aSteps,
-              std::uint64_t aRoom);
-  /// The server is gone: it holds nothing.
+              std::uint64_t aCapacity);
+  /// The server is gone and its cache with it.
   void Forget(const InstanceName& aServer);
 
-  /// Tokens of the prompt that the server probably holds: a step counts only
-  /// with all before it.
+  /// Tokens of the longest prefix of the prompt that the server probably has
+  /// cached: a step counts only if all steps before it are cached.
   std::uint32_t TokensHeld(const InstanceName& aServer,
                            std::span<const PromptStep> aSteps) const;
-  /// Adds what the server probably held before this process began, behind what
-  /// is known of it, as far as there is room.
-  /// \param aSteps as Latest() has them.
+  /// Adds what the server probably had cached before this process started, as
+  /// less recently used than the steps known already and up to \p aCapacity.
+  /// \param aSteps as MostRecentlyUsed() returns them.
   void Seed(const InstanceName& aServer,
             std::span<const PromptStep> aSteps,
-            std::uint64_t aRoom);
-  /// At most \p aMost of the steps that each server used last, the latest
-  /// first.
+            std::uint64_t aCapacity);
+  /// For each server at most \p aMaxSteps steps, most recently used first.
   std::vector<std::pair<InstanceName, std::vector<PromptStep>>> Latest(
-    std::size_t aMost) const;
-  /// Steps held by all servers together.
+    std::size_t aMaxSteps) const;
+  /// Number of steps cached by all servers together.
   std::size_t StepCount() const;
 
-  /// Steps followed for one server, where its room would let it keep more.
-  static constexpr std::size_t kMostSteps = 4096;
+  /// Maximum steps tracked per server, also where its cache would hold more.
+  static constexpr std::size_t kMaxSteps = 4096;
 
 private:
-  /// What one server holds.
+  /// Estimated content of one server's cache.
   struct Cache
   {
     /// Most recently used first.
-    std::list<PromptStep> order;
-    absl::flat_hash_map<PrefixHash, std::list<PromptStep>::iterator> places;
+    std::list<PromptStep> steps;
+    absl::flat_hash_map<PrefixHash, std::list<PromptStep>::iterator> positions;
     std::uint64_t tokens = 0;
   };
 
   static void Use(Cache& aCache, const PromptStep& aStep);
-  static void DropOldest(Cache& aCache);
+  static void EvictOldest(Cache& aCache);
 
   absl::flat_hash_map<InstanceName, Cache> caches;
 };
--- a/dogwoodvale/src/Placement/CacheFetch.cpp
+++ b/dogwoodvale/src/Placement/CacheFetch.cpp
@@ -4,10 +4,10 @@
 
 namespace {
 
-/// Fewer tokens are read sooner than a transfer has begun: one way there and
-/// one back between servers, 2 to 3 ms, is worth 100 tokens on an engine that
-/// reads 43 in a millisecond and 400 on one that reads 157.
-constexpr std::uint32_t kLeastFetchedTokens = 256;
+/// Fewer tokens are prefilled before a transfer has started: a round trip
+/// between servers takes 2 to 3 ms, in which an engine with 43 tokens per
+/// millisecond prefills 100 tokens and one with 157 prefills 400.
+constexpr std::uint32_t kMinFetchedTokens = 256;
 
 class NoFetch final : public CacheFetchPolicy
 {
@@ -21,9 +21,9 @@
   }
 };
 
-/// Fetches from one of those that hold most of the prompt, from one in the same
-/// data centre if there is one; which of them is drawn, as transfers queue on
-/// the source's link.
+/// Fetches from one of the servers that hold most of the prompt, preferably in
+/// the same data centre. Ties are broken at random, as transfers from one
+/// source queue on its link.
 class FetchFromHolder final : public CacheFetchPolicy
 {
 public:
@@ -56,14 +56,13 @@
   }
 
 private:
-  /// A server that is ejected or on trial may not answer, and the one that
-  /// fetches from it would wait.
+  /// A server that is ejected or probing may not answer, and the server that
+  /// fetches from it would wait for it.
   static bool IsSource(const DirectCandidate& aCandidate,
                        const DirectCandidate& aChosen)
   {
     return aCandidate.standing == Standing::InService &&
-           aCandidate.cachedTokens >=
-             aChosen.cachedTokens + kLeastFetchedTokens;
+           aCandidate.cachedTokens >= aChosen.cachedTokens + kMinFetchedTokens;
   }
 
   /// \return above 0 if \p aLeft is the better source, 0 if both are as good.
--- a/dogwoodvale/src/Placement/DirectChoice.cpp
+++ b/dogwoodvale/src/Placement/DirectChoice.cpp
@@ -6,63 +6,67 @@
 
 namespace {
 
-/// How much a turn in the queue of a full server counts beside the time that it
-/// takes. A few turns make a request late for certain, where one that shares an
-/// engine with long prompts may still be in time.
-constexpr double kTurnWeight = 8.0;
-/// Prefill that one running request is taken to stand for: each slows every
+/// Weight of a position in the queue of a full server, relative to the time
+/// until a slot becomes free. A few positions make a request late for certain,
+/// while one that shares an engine with long prompts may still be in time.
+constexpr double kQueuePositionWeight = 8.0;
+/// Prefill tokens equivalent to one running request, which slows every decoding
 /// step a little.
 constexpr double kTokensPerRunningRequest = 8.0;
-/// How much a token of delay to a request that runs there counts against one to
-/// the request that is placed. One for one makes the sum of delays least.
-constexpr double kDelayToOthers = 0.3;
-/// How much reading a token again that another server has in its cache counts
-/// beside the delay that it is: it takes capacity from all, and puts the same
-/// part into a second cache.
-constexpr double kReadAgain = 20.0;
-/// At most so many of the request's targets: it waits for a holder as long as
-/// it may still be in time there.
-constexpr double kHolderTargets = 1.0;
-/// Share of the cache above which running requests begin to preempt others.
-constexpr double kFullCacheShare = 0.85;
+/// Weight of the delay to a request that runs at the server, relative to the
+/// delay to the request being placed. A weight of 1 would minimise the sum of
+/// delays.
+constexpr double kDelayToOthersWeight = 0.3;
+/// Weight of a token that is prefilled although another server has it cached,
+/// in addition to the delay itself: it takes capacity from all requests and
+/// stores the same part in a second cache.
+constexpr double kRepeatedPrefillWeight = 20.0;
+/// Upper bound of this cost, in multiples of the tokens prefilled within the
+/// request's latency target: it waits for a server that has the part cached
+/// only as long as it may still be in time there.
+constexpr double kMaxRepeatedPrefillTargets = 1.0;
+/// Fraction of the cache above which running requests begin to preempt others.
+constexpr double kFullCacheFraction = 0.85;
 
-/// Tokens that are read there although another server holds them, or reads them
-/// for this request's shared parts.
+/// Tokens that the server would prefill although another candidate has them
+/// cached or, as the home server of a new shared part, should prefill them.
 double
-TokensReadAgain(const DirectCandidate& aCandidate,
-                const DirectDemand& aDemand,
-                std::uint32_t aMostCached)
+RepeatedPrefillTokens(const DirectCandidate& aCandidate,
+                      const DirectDemand& aDemand,
+                      std::uint32_t aMostCached)
 {
   const std::uint32_t fresh =
     aDemand.sharedTokens - std::min(aDemand.sharedTokens, aMostCached);
   const std::uint32_t wanted = aMostCached + fresh;
-  const std::uint32_t held =
+  const std::uint32_t covered =
     aCandidate.cachedTokens + (aCandidate.isHome ? fresh : 0);
-  return wanted - std::min(wanted, held);
+  return wanted - std::min(wanted, covered);
 }
 
 double
-ReadAgainCost(const DirectCandidate& aCandidate,
-              const DirectDemand& aDemand,
-              std::uint32_t aMostCached)
+RepeatedPrefillCost(const DirectCandidate& aCandidate,
+                    const DirectDemand& aDemand,
+                    std::uint32_t aMostCached)
 {
-  const double cost =
-    kReadAgain * TokensReadAgain(aCandidate, aDemand, aMostCached);
+  const double cost = kRepeatedPrefillWeight *
+                      RepeatedPrefillTokens(aCandidate, aDemand, aMostCached);
   return aDemand.tokensPerTarget > 0
-           ? std::min(cost, kHolderTargets * aDemand.tokensPerTarget)
+           ? std::min(cost,
+                      kMaxRepeatedPrefillTargets * aDemand.tokensPerTarget)
            : cost;
 }
 
-/// Slots that have to come free at the server before the request gets one.
-/// Those of later ranks that wait there are passed.
+/// Slots that have to become free at the server before the request gets one.
+/// Waiting requests of later ranks are overtaken and do not count.
 std::uint32_t
-TurnsUntilSlot(const DirectCandidate& aCandidate, const DirectDemand& aDemand)
+QueuePositionOf(const DirectCandidate& aCandidate, const DirectDemand& aDemand)
 {
   const BackendWork& work = aCandidate.work;
   if (aCandidate.slots == 0 || work.requests < aCandidate.slots) {
     return 0;
   }
-  // A gateway of an older version doesn't tell ranks: these may be ahead.
+  // Gateways of older versions do not report ranks: count these requests as
+  // ahead.
   const std::uint32_t unranked =
     work.requests -
     std::min(work.requests, work.RequestsUpTo(BackendWork::kRanks - 1));
@@ -76,27 +80,28 @@
           std::uint32_t aMostCached)
 {
   const BackendWork& work = aCandidate.work;
-  const std::uint32_t own =
+  const std::uint32_t prefill =
     aDemand.promptTokens -
     std::min(aDemand.promptTokens, aCandidate.cachedTokens);
-  double tokens = static_cast<double>(work.PrefillUpTo(aDemand.rank)) + own;
-  tokens += ReadAgainCost(aCandidate, aDemand, aMostCached);
+  double tokens = static_cast<double>(work.PrefillUpTo(aDemand.rank)) + prefill;
+  tokens += RepeatedPrefillCost(aCandidate, aDemand, aMostCached);
   if (aDemand.isLong) {
-    // Every answer that is generated there waits while this prompt is read.
-    tokens += kDelayToOthers * own * work.requests;
+    // Every answer that is generated there stalls while this prompt is
+    // prefilled.
+    tokens += kDelayToOthersWeight * prefill * work.requests;
   } else {
-    // What was read there lately is what will be read beside this answer.
+    // Recent prefill of long prompts predicts the prefill during this answer.
     tokens += aCandidate.recentLongTokens;
     tokens += kTokensPerRunningRequest * work.requests;
   }
-  tokens +=
-    kTurnWeight * aDemand.tokensPerTurn * TurnsUntilSlot(aCandidate, aDemand);
+  tokens += kQueuePositionWeight * aDemand.tokensPerTurn *
+            QueuePositionOf(aCandidate, aDemand);
   const auto memory =
     static_cast<double>(work.memoryTokens + aDemand.promptTokens);
-  const double room =
-    kFullCacheShare * static_cast<double>(aCandidate.cacheTokens);
-  if (aCandidate.cacheTokens > 0 && memory > room) {
-    tokens += memory - room;
+  const double usableMemory =
+    kFullCacheFraction * static_cast<double>(aCandidate.cacheTokens);
+  if (aCandidate.cacheTokens > 0 && memory > usableMemory) {
+    tokens += memory - usableMemory;
   }
   return tokens;
 }
--- a/dogwoodvale/src/Placement/DirectChoice.h
+++ b/dogwoodvale/src/Placement/DirectChoice.h
@@ -11,59 +11,62 @@
 
 namespace dogwoodvale {
 
-/// What a request asks of a backend server.
+/// What the placement of a request depends on.
 struct DirectDemand
 {
-  /// Tokens of the prompt in all; 0 for a plain service.
+  /// All tokens of the prompt; 0 for a service that is not a model.
   std::uint32_t promptTokens = 0;
   std::vector<PromptStep> steps;
-  /// Of these, the tokens that other requests share.
+  /// Tokens of the prompt that other requests may share.
   std::uint32_t sharedTokens = 0;
-  /// Place in the order of service, 0 first, see OrderPlaces::inTime.
+  /// Scheduling priority, 0 first, see OrderPlaces::inTime.
   std::uint32_t rank = 0;
-  /// The same in a full server's queue; the last where ranks are not told apart
-  /// there.
+  /// Priority in the queue of a full server; the last one where these queues do
+  /// not distinguish ranks.
   std::uint32_t turnRank = BackendWork::kRanks - 1;
-  /// Carries the service's reading: not interactive, or where no request is,
-  /// longer than the mean, see PrefillFlow.
+  /// One of the requests that cause most of the service's prefill: those that
+  /// are not interactive or, in a service without interactive requests, have a
+  /// prompt longer than the mean, see PrefillFlow.
   bool isLong = false;
-  /// Its answer must not share a server with long reading, see PauseProfile.
+  /// Its answer must not share a server with long prefill, see PauseProfile.
   bool isInteractive = false;
-  /// Prefill that one turn in a full server's queue stands for, see
+  /// Prefill tokens equivalent to one position in a full server's queue, see
   /// PrefillFlow::TokensPerTurn().
   double tokensPerTurn = kGuessedTokensPerTurn;
-  /// Tokens that a server reads within the route's target; 0 until measured.
+  /// Tokens that a server prefills within the route's latency target; 0 until
+  /// measured.
   double tokensPerTarget = 0;
 
-  /// Until it is measured.
+  /// Used until the value is measured.
   static constexpr double kGuessedTokensPerTurn = 2000.0;
 };
 
-/// A backend server as the choice sees it.
+/// State of a backend server that the choice depends on.
 struct DirectCandidate
 {
   InstanceName name;
   DataCentreName dataCentre;
   BackendWork work;
-  /// Requests that it works on at once; 0 while unknown.
+  /// Requests that it processes concurrently; 0 while unknown.
   std::uint32_t slots = 0;
-  /// Tokens that fit into its cache; 0 while unknown.
+  /// Capacity of its KV cache in tokens; 0 while unknown.
   std::uint64_t cacheTokens = 0;
   Standing standing = Standing::InService;
-  /// Prompt tokens that its cache probably holds of this request.
+  /// Tokens of this request's prompt that it probably has cached.
   std::uint32_t cachedTokens = 0;
-  /// What it has read of long prompts lately, see PrefillFlow.
+  /// Recently prefilled tokens of long prompts, see PrefillFlow.
   double recentLongTokens = 0;
   /// Reserved for interactive requests, see ReservedServers.
   bool isReserved = false;
-  /// Of those that may take it, the one that should read a new shared part.
+  /// Among the candidates, the one that should prefill a new shared part, see
+  /// HomeScore().
   bool isHome = false;
 };
 
-/// What sending the request there is expected to cost: prefill tokens until its
-/// first token for a model, requests per slot for a plain service; lower is
-/// better.
-/// \param aMostCached the most that any candidate's cache holds of the prompt.
+/// Expected cost of sending the request to the server, lower is better: for a
+/// model the prefill tokens until its first token, weighted with the delay to
+/// other requests; for other services the requests per slot.
+/// \param aMostCached the largest cachedTokens of any candidate.
 double
 DirectCost(const DirectCandidate& aCandidate,
            const DirectDemand& aDemand,
--- a/dogwoodvale/src/Placement/DirectChooser.cpp
+++ b/dogwoodvale/src/Placement/DirectChooser.cpp
@@ -8,7 +8,8 @@
 
 namespace {
 
-/// Goes by DirectCost(): reading that waits, caches, delay to others.
+/// Compares servers by DirectCost(): queued prefill, cached parts and delay to
+/// other requests.
 class ExpectedDelayChooser final : public DirectChooser
 {
 protected:
@@ -20,7 +21,7 @@
   }
 };
 
-/// Goes by requests under way for each slot. For comparison.
+/// Compares servers by requests in flight per slot. A baseline for comparison.
 class LeastRequestsDirectChooser final : public DirectChooser
 {
 protected:
@@ -33,7 +34,7 @@
   }
 };
 
-/// Takes the servers in turn, whatever their load. For comparison.
+/// Chooses the servers in turn regardless of load. A baseline for comparison.
 class RoundRobinDirectChooser final : public DirectChooser
 {
 protected:
@@ -41,38 +42,41 @@
                 const DirectDemand& /*aDemand*/,
                 std::uint32_t /*aMostCached*/) const override
   {
-    const auto found = this->turns.find(aCandidate.name);
-    return found == this->turns.end() ? 0.0
-                                      : static_cast<double>(found->second);
+    const auto found = this->lastChosenAt.find(aCandidate.name);
+    return found == this->lastChosenAt.end()
+             ? 0.0
+             : static_cast<double>(found->second);
   }
   void OnChosen(const DirectCandidate& aCandidate) override
   {
-    // Servers come and go for as long as the process runs.
-    if (this->turns.size() > kMostKnown) {
-      this->turns.clear();
+    // Bounds the map, as servers are replaced while the process runs.
+    if (this->lastChosenAt.size() > kMaxServers) {
+      this->lastChosenAt.clear();
     }
-    this->turns[aCandidate.name] = ++this->last;
+    this->lastChosenAt[aCandidate.name] = ++this->choices;
   }
 
 private:
-  static constexpr std::size_t kMostKnown = 10'000;
-  /// When each server was last chosen, counted in choices.
-  absl::flat_hash_map<InstanceName, std::uint64_t> turns;
-  std::uint64_t last = 0;
+  static constexpr std::size_t kMaxServers = 10'000;
+  /// Number of the choice at which each server was last chosen.
+  absl::flat_hash_map<InstanceName, std::uint64_t> lastChosenAt;
+  std::uint64_t choices = 0;
 };
 
-/// Has no slot for one more, or soon has none: others know of it late.
+/// Whether it has no free slot or soon has none: the work that other gateways
+/// have sent to it is known only after a delay.
 bool
 IsFull(const DirectCandidate& aCandidate)
 {
-  constexpr double kFullShare = 0.9;
+  constexpr double kFullFraction = 0.9;
   return aCandidate.slots > 0 &&
-         aCandidate.work.requests >= kFullShare * aCandidate.slots;
+         aCandidate.work.requests >= kFullFraction * aCandidate.slots;
 }
 
-/// Those that are ejected, and those on trial that have their one request.
+/// Whether it should get no request: it is ejected, or probing with the one
+/// request in flight that this state allows.
 bool
-IsOut(const DirectCandidate& aCandidate)
+IsUnavailable(const DirectCandidate& aCandidate)
 {
   return aCandidate.standing == Standing::Ejected ||
          (aCandidate.standing == Standing::OnTrial &&
@@ -87,14 +91,14 @@
                       std::mt19937_64& aRandom)
 {
   std::optional<std::size_t> best =
-    this->ChooseAmong(aCandidates, aDemand, Group::Own, aRandom);
-  // Long prompts that wait go on waiting: on reserved servers they would make
-  // more urgent answers late. Interactive ones that find these full share the
-  // others, as they would with none reserved.
-  const bool needsOthers =
-    !best || IsOut(aCandidates[*best]) ||
-    (aDemand.isInteractive && IsFull(aCandidates[*best]));
-  if (needsOthers) {
+    this->ChooseAmong(aCandidates, aDemand, Group::Designated, aRandom);
+  // Long prompts stay out of the reserved servers even if they have to wait:
+  // there they would make more urgent answers late. Interactive requests that
+  // find the reserved servers full share the others, as they would if none were
+  // reserved.
+  const bool needsAll = !best || IsUnavailable(aCandidates[*best]) ||
+                        (aDemand.isInteractive && IsFull(aCandidates[*best]));
+  if (needsAll) {
     best = this->ChooseAmong(aCandidates, aDemand, Group::All, aRandom);
   }
   if (best) {
@@ -115,7 +119,7 @@
   };
   std::optional<std::size_t> best;
   double bestCost = 0;
-  bool bestIsOut = false;
+  bool bestIsUnavailable = false;
   std::uint32_t ties = 0;
   std::uint32_t mostCached = 0;
   for (const DirectCandidate& candidate : aCandidates) {
@@ -127,16 +131,17 @@
     if (!isMember(aCandidates[i])) {
       continue;
     }
-    const bool isOut = IsOut(aCandidates[i]);
+    const bool isUnavailable = IsUnavailable(aCandidates[i]);
     const double cost = this->CostOf(aCandidates[i], aDemand, mostCached);
     const bool isBetter =
-      !best || (bestIsOut && !isOut) || (bestIsOut == isOut && cost < bestCost);
+      !best || (bestIsUnavailable && !isUnavailable) ||
+      (bestIsUnavailable == isUnavailable && cost < bestCost);
     if (isBetter) {
       best = i;
       bestCost = cost;
-      bestIsOut = isOut;
+      bestIsUnavailable = isUnavailable;
       ties = 1;
-    } else if (bestIsOut == isOut && cost == bestCost &&
+    } else if (bestIsUnavailable == isUnavailable && cost == bestCost &&
                std::uniform_int_distribution<std::uint32_t>(0, ties++)(
                  aRandom) == 0) {
       best = i;
--- a/dogwoodvale/src/Placement/DirectChooser.h
+++ b/dogwoodvale/src/Placement/DirectChooser.h
@@ -12,40 +12,42 @@
 
 namespace dogwoodvale {
 
-/// Chooses a backend server for a request among those that may take it.
+/// Chooses the backend server for a request from those that may take it.
 class DirectChooser
 {
 public:
   virtual ~DirectChooser() = default;
 
-  /// The cheapest candidate that may take work; ties are broken at random, so
-  /// that gateways which know the same do not all choose the same. Servers that
-  /// are ejected are taken only where there is no other.
-  /// \return its place in \p aCandidates, or nothing when that is empty.
+  /// Chooses the candidate of the lowest cost. Ties are broken at random, so
+  /// that gateways with the same information do not all choose the same server.
+  /// Candidates that are ejected, or probing with a request in flight, are
+  /// chosen only if there are no others.
+  /// \return its index in \p aCandidates; nothing if there are no candidates.
   std::optional<std::size_t> Choose(
     std::span<const DirectCandidate> aCandidates,
     const DirectDemand& aDemand,
     std::mt19937_64& aRandom);
 
-  /// \param aName of the settings: "expected_delay", "least_requests" or
+  /// \param aName as in the settings: "expected_delay", "least_requests" or
   /// "round_robin".
-  /// \return null for any other.
+  /// \return null for any other name.
   static std::unique_ptr<DirectChooser> Create(std::string_view aName);
 
 protected:
-  /// What sending the request there is expected to cost; lower is better.
-  /// \param aMostCached the most that any candidate's cache holds of the
-  /// prompt.
+  /// Expected cost of sending the request to the candidate; lower is better.
+  /// \param aMostCached the largest cachedTokens of the candidates compared.
   virtual double CostOf(const DirectCandidate& aCandidate,
                         const DirectDemand& aDemand,
                         std::uint32_t aMostCached) const = 0;
+  /// Called with each candidate that Choose() returns.
   virtual void OnChosen(const DirectCandidate& /*aCandidate*/) {}
 
 private:
-  /// The servers that a request is meant for, see ReservedServers.
+  /// Candidates to choose from, see ReservedServers.
   enum class Group : std::uint8_t
   {
-    Own,
+    /// For interactive requests the reserved servers, for others the rest.
+    Designated,
     All,
   };
 
--- a/dogwoodvale/src/Placement/HomeServer.h
+++ b/dogwoodvale/src/Placement/HomeServer.h
@@ -7,14 +7,16 @@
 
 namespace dogwoodvale {
 
-/// How much a server is the home of a shared part of prompts: the candidate
-/// with the highest score reads it first.
+/// Score for rendezvous hashing (highest random weight): the candidate with the
+/// highest score is the home server of a shared part of prompts, which should
+/// prefill it first.
 ///
-/// When a part is new, gateways don't know yet that another one has just sent
-/// it somewhere. Each would choose the server that looks idle to it, and the
-/// part would be read and kept several times over. With 29 gateways before 52
-/// simulated engines at their limit this gains 0.05 of all requests' worth
-/// (0.46 to 0.51, two loads); with four, nothing beyond noise.
+/// When a part is new, a gateway does not know yet that another one has just
+/// sent it to some server. Each would choose the server that looks idle to it,
+/// and the part would be prefilled and cached several times over. With 29
+/// gateways and 52 simulated engines at capacity, home servers raise the served
+/// share of all requests' worth from 0.46 to 0.51 (two loads); with four
+/// gateways there is no difference beyond noise.
 std::uint64_t
 HomeScore(PrefixHash aPart, const InstanceName& aInstance);
 
--- a/dogwoodvale/src/Placement/LoadRefusal.cpp
+++ b/dogwoodvale/src/Placement/LoadRefusal.cpp
@@ -6,35 +6,36 @@
 
 namespace {
 
-/// In halves of the target. One target refuses more and serves no more: the
-/// wait is known to about a half of itself.
-constexpr int kMostWaitHalves = 3;
-/// In targets, for those that let the others pass. Behind a longer queue many
-/// callers leave before they are served.
-constexpr int kMostLateWaitTargets = 3;
-/// A caller that came back at once would find nothing changed.
-constexpr Duration kLeastRetryAfter = milliseconds(100);
+/// Longest wait, in halves of the target. A limit of one target refuses more
+/// requests and serves no more, since the expected wait is accurate only to
+/// about half of its value.
+constexpr int kMaxWaitHalves = 3;
+/// Longest wait of prompts that others overtake, in targets. Behind a longer
+/// queue many callers disconnect before they are served.
+constexpr int kMaxLateWaitTargets = 3;
+/// Shortest delay: the load would not have changed at an immediate retry.
+constexpr Duration kMinRetryAfter = milliseconds(100);
 
 } // namespace
 
 bool
 IsWaitTooLong(Duration aWait, Duration aTarget)
 {
-  return aWait > kMostWaitHalves * aTarget / 2;
+  return aWait > kMaxWaitHalves * aTarget / 2;
 }
 
 bool
 IsLateWaitTooLong(Duration aWait, Duration aTarget)
 {
-  return aWait > kMostLateWaitTargets * aTarget;
+  return aWait > kMaxLateWaitTargets * aTarget;
 }
 
 milliseconds
 DrawRetryAfter(Duration aWait, Duration aTarget, std::mt19937_64& aRandom)
 {
-  const Duration least = std::max(kLeastRetryAfter, aWait - aTarget / 2);
-  std::uniform_int_distribution<Duration::rep> draw(least.count(),
-                                                    2 * least.count());
+  const Duration minDelay = std::max(kMinRetryAfter, aWait - aTarget / 2);
+  std::uniform_int_distribution<Duration::rep> draw(minDelay.count(),
+                                                    2 * minDelay.count());
   return std::chrono::duration_cast<milliseconds>(Duration(draw(aRandom)));
 }
 
--- a/dogwoodvale/src/Placement/LoadRefusal.h
+++ b/dogwoodvale/src/Placement/LoadRefusal.h
@@ -7,24 +7,27 @@
 
 namespace dogwoodvale {
 
-/// Whether a prompt should be refused rather than wait this long for its turn.
+/// Whether a prompt should be refused rather than wait this long before its
+/// prefill starts.
 ///
-/// Servers read as many prompts with a long queue as with a short one; behind a
-/// queue that is longer than the target each of them is late. So what would
-/// only lengthen the queue is told at once to come back when there will be
-/// room. The request's own size does not count, or large ones would starve.
+/// Servers prefill as many prompts with a long queue as with a short one, but
+/// behind a queue longer than the target each of them is late. So a request
+/// that would only lengthen the queue is refused at once, to be retried when
+/// there is capacity. Its own size does not count, or large requests would
+/// starve.
 bool
 IsWaitTooLong(Duration aWait, Duration aTarget);
 
-/// The same for a prompt that lets the others pass, see Timeliness::Late: it
-/// costs none of them anything while it waits.
+/// The same for a prompt that the others overtake, see Timeliness::Late. Its
+/// limit is higher, as it delays none of them while it waits.
 bool
 IsLateWaitTooLong(Duration aWait, Duration aTarget);
 
-/// When a request that is refused should come back: when the work that is ahead
-/// of it will be done but for half a target, drawn from a span as long again,
-/// so that those that are refused together don't come back together.
-/// \param aWait what it would have waited; zero if it isn't known.
+/// Delay after which a refused request should be retried: the time until the
+/// work ahead of it takes only half a target more, at least 100 ms, with random
+/// jitter of up to as much again, so that requests refused together are not
+/// retried together.
+/// \param aWait the time that it would have waited; zero if unknown.
 milliseconds
 DrawRetryAfter(Duration aWait, Duration aTarget, std::mt19937_64& aRandom);
 
--- a/dogwoodvale/src/Placement/OrderOfService.cpp
+++ b/dogwoodvale/src/Placement/OrderOfService.cpp
@@ -7,16 +7,16 @@
 OrderPlaces
 PlacesOf(std::uint32_t aRank, std::uint32_t aRanks)
 {
-  constexpr std::uint32_t kPlaces = BackendWork::kRanks;
-  const std::uint32_t spare = kPlaces - std::min(kPlaces, aRanks);
-  const std::uint32_t firstWithTwo = aRanks - std::min(aRanks, spare);
-  if (aRank < firstWithTwo) {
-    const std::uint32_t place = std::min(aRank, kPlaces - 1);
-    return { place, place };
+  constexpr std::uint32_t kPriorities = BackendWork::kRanks;
+  const std::uint32_t spare = kPriorities - std::min(kPriorities, aRanks);
+  const std::uint32_t firstRankWithTwo = aRanks - std::min(aRanks, spare);
+  if (aRank < firstRankWithTwo) {
+    const std::uint32_t priority = std::min(aRank, kPriorities - 1);
+    return { priority, priority };
   }
-  const std::uint32_t place =
-    std::min(aRank + (aRank - firstWithTwo), kPlaces - 1);
-  return { place, std::min(place + 1, kPlaces - 1) };
+  const std::uint32_t priority =
+    std::min(aRank + (aRank - firstRankWithTwo), kPriorities - 1);
+  return { priority, std::min(priority + 1, kPriorities - 1) };
 }
 
 } // namespace dogwoodvale
--- a/dogwoodvale/src/Placement/OrderOfService.h
+++ b/dogwoodvale/src/Placement/OrderOfService.h
@@ -7,20 +7,21 @@
 
 namespace dogwoodvale {
 
-/// Places in the order in which a backend server takes requests, 0 first, of
-/// those of one rank.
+/// Scheduling priorities at a backend server of the requests of one rank;
+/// 0 is served first.
 struct OrderPlaces
 {
+  /// Of requests that can meet their latency target.
   std::uint32_t inTime = 0;
-  /// Of those that will miss their target anyway: behind all others of their
-  /// rank, ahead of every later rank. The same as inTime where the ranks take
-  /// up the places.
+  /// Of requests that will miss it anyway: behind all others of their rank and
+  /// ahead of every later rank. Equal to inTime where there are not enough
+  /// priorities for two per rank.
   std::uint32_t late = 0;
 };
 
-/// \param aRank of \p aRanks, see RouteTable::RankOf(). The last ranks get two
-/// places each as far as there are places: what is long and can wait stands
-/// there.
+/// \param aRank of \p aRanks ranks, see RouteTable::RankOf(). There are
+/// BackendWork::kRanks priorities; those left over give a second one to the
+/// last ranks, which hold the long requests that can wait.
 OrderPlaces
 PlacesOf(std::uint32_t aRank, std::uint32_t aRanks);
 
--- a/dogwoodvale/src/Placement/PauseProfile.cpp
+++ b/dogwoodvale/src/Placement/PauseProfile.cpp
@@ -4,18 +4,21 @@
 
 namespace {
 
-/// Weight of one more sample in the shares: the latest hundred or so count.
-constexpr double kWeight = 0.01;
-/// A bound that fewer of the requests have does not make the others loose: a
-/// route that is hardly used must not decide for a service.
-constexpr double kLeastShare = 0.05;
-/// Bounds are forgotten below this, so that changing ones don't pile up.
-constexpr double kForgottenShare = 1e-4;
-/// Part of the tightest bound from which a pause counts as near it.
-constexpr double kNear = 0.6;
-/// Share of disturbed streams from which the tightest bound needs servers of
-/// its own. Between these two and 0.85 and 0.15 four simulated sites showed no
-/// difference.
+/// Weight of a sample in the moving averages, so that about the last hundred
+/// samples count.
+constexpr double kSampleWeight = 0.01;
+/// Share of requests from which a bound may be the tightest: a route that is
+/// hardly used must not make all other bounds of the service count as loose.
+constexpr double kMinShare = 0.05;
+/// Share below which a bound is removed, so that bounds which change do not
+/// accumulate.
+constexpr double kRemovalShare = 1e-4;
+/// Fraction of the tightest bound from which a pause counts as close to it.
+constexpr double kCloseFraction = 0.6;
+/// Share of streams with pauses close to the tightest bound from which requests
+/// with this bound need servers of their own. Four simulated sites show no
+/// difference between 0.6 and 0.1 for kCloseFraction and this constant, and
+/// 0.85 and 0.15.
 constexpr double kDisturbedShare = 0.1;
 
 } // namespace
@@ -24,10 +27,10 @@
 PauseProfile::OnRequest(Duration aBound)
 {
   for (auto it = this->shares.begin(); it != this->shares.end();) {
-    it->second *= 1.0 - kWeight;
-    it = it->second < kForgottenShare ? this->shares.erase(it) : std::next(it);
+    it->second *= 1.0 - kSampleWeight;
+    it = it->second < kRemovalShare ? this->shares.erase(it) : std::next(it);
   }
-  this->shares[aBound] += kWeight;
+  this->shares[aBound] += kSampleWeight;
 }
 
 Duration
@@ -38,7 +41,7 @@
     sum += share;
   }
   for (const auto& [bound, share] : this->shares) {
-    if (share >= kLeastShare * sum) {
+    if (share >= kMinShare * sum) {
       return bound;
     }
   }
@@ -46,21 +49,22 @@
 }
 
 void
-PauseProfile::OnStream(Duration aBound, Duration aLongest)
+PauseProfile::OnStream(Duration aBound, Duration aLongestPause)
 {
   const Duration tightest = this->Tightest();
   if (aBound <= tightest) {
     return;
   }
-  const bool isNear = static_cast<double>(aLongest.count()) >=
-                      kNear * static_cast<double>(tightest.count());
-  this->disturbed += kWeight * ((isNear ? 1.0 : 0.0) - this->disturbed);
+  const bool isClose = static_cast<double>(aLongestPause.count()) >=
+                       kCloseFraction * static_cast<double>(tightest.count());
+  this->disturbedShare +=
+    kSampleWeight * ((isClose ? 1.0 : 0.0) - this->disturbedShare);
 }
 
 bool
 PauseProfile::HasInteractive() const
 {
-  return this->shares.size() > 1 && this->disturbed >= kDisturbedShare;
+  return this->shares.size() > 1 && this->disturbedShare >= kDisturbedShare;
 }
 
 bool
--- a/dogwoodvale/src/Placement/Placer.cpp
+++ b/dogwoodvale/src/Placement/Placer.cpp
@@ -9,38 +9,40 @@
 
 namespace {
 
-/// Share of the target from which an expected first token counts as late. Below
-/// one, as a rush goes on while a prompt waits and more urgent ones pass it.
-constexpr double kLateShare = 0.9;
+/// Fraction of the target from which an expected first token counts as late.
+/// Below 1, because in an overload more urgent prompts keep arriving and
+/// overtake a prompt while it waits.
+constexpr double kLateFraction = 0.9;
 
-/// Tokens of the prompt that the server has to read itself.
+/// Tokens of the prompt that the server has to prefill itself.
 std::uint32_t
-TokensToRead(const DirectDemand& aDemand,
-             const DirectCandidate& aServer,
-             const std::optional<FetchSource>& aFetch)
+PrefillTokensOf(const DirectDemand& aDemand,
+                const DirectCandidate& aServer,
+                const std::optional<FetchSource>& aFetch)
 {
-  const std::uint32_t spared =
+  const std::uint32_t saved =
     aServer.cachedTokens + (aFetch ? aFetch->tokens : 0);
-  return aDemand.promptTokens - std::min(aDemand.promptTokens, spared);
+  return aDemand.promptTokens - std::min(aDemand.promptTokens, saved);
 }
 
 Duration
-WaitBehind(const PrefillFlow& aFlow,
+WaitBehind(const PrefillFlow& aStatistics,
            const DirectCandidate& aServer,
            std::uint64_t aTokens)
 {
-  return aFlow.WaitBehind(aServer.name, aTokens).value_or(Duration::zero());
+  return aStatistics.WaitBehind(aServer.name, aTokens)
+    .value_or(Duration::zero());
 }
 
 BackendWork
 WorkOf(const PlacementRequest& aRequest,
-       std::uint32_t aToRead,
-       std::uint32_t aPlace)
+       std::uint32_t aPrefillTokens,
+       std::uint32_t aPriority)
 {
   BackendWork work;
   work.requests = 1;
-  work.PrefillAt(aPlace) = aToRead;
-  work.RequestsAt(aPlace) = 1;
+  work.PrefillAt(aPriority) = aPrefillTokens;
+  work.RequestsAt(aPriority) = 1;
   work.memoryTokens = aRequest.demand.promptTokens + aRequest.outputTokens;
   work.interactive = aRequest.demand.isInteractive ? 1 : 0;
   return work;
@@ -82,7 +84,7 @@
 std::optional<Placement>
 Placer::Place(std::span<const DirectCandidate> aCandidates,
               const PlacementRequest& aRequest,
-              const PrefillFlow& aFlow,
+              const PrefillFlow& aStatistics,
               std::mt19937_64& aRandom)
 {
   const std::optional<std::size_t> chosen =
@@ -100,30 +102,31 @@
   if (!aRequest.wasRead) {
     placement.fetch = this->fetches->SourceFor(aCandidates, *chosen, aRandom);
   }
-  const std::uint32_t toRead =
-    TokensToRead(aRequest.demand, server, placement.fetch);
-  this->Judge(server, aRequest, toRead, aFlow, placement);
-  placement.work = WorkOf(aRequest, toRead, placement.place);
+  const std::uint32_t prefillTokens =
+    PrefillTokensOf(aRequest.demand, server, placement.fetch);
+  this->SetExpectations(
+    server, aRequest, prefillTokens, aStatistics, placement);
+  placement.work = WorkOf(aRequest, prefillTokens, placement.place);
   return placement;
 }
 
 void
-Placer::Judge(const DirectCandidate& aServer,
-              const PlacementRequest& aRequest,
-              std::uint32_t aToRead,
-              const PrefillFlow& aFlow,
-              Placement& aPlacement) const
+Placer::SetExpectations(const DirectCandidate& aServer,
+                        const PlacementRequest& aRequest,
+                        std::uint32_t aPrefillTokens,
+                        const PrefillFlow& aStatistics,
+                        Placement& aPlacement) const
 {
-  const auto stand = [&](std::uint32_t aPlace) {
-    aPlacement.place = aPlace;
+  const auto setPriority = [&](std::uint32_t aPriority) {
+    aPlacement.place = aPriority;
     aPlacement.prefillAhead = aServer.work.PrefillUpTo(
-      this->options.rankedReading ? aPlace : BackendWork::kRanks - 1);
-    aPlacement.wait = WaitBehind(aFlow, aServer, aPlacement.prefillAhead);
-    aPlacement.firstToken =
-      WaitBehind(aFlow, aServer, aPlacement.prefillAhead + aToRead);
+      this->options.rankedReading ? aPriority : BackendWork::kRanks - 1);
+    aPlacement.wait = WaitBehind(aStatistics, aServer, aPlacement.prefillAhead);
+    aPlacement.firstToken = WaitBehind(
+      aStatistics, aServer, aPlacement.prefillAhead + aPrefillTokens);
   };
-  stand(aRequest.places.inTime);
-  // Short prompts are read between the long ones, by the servers' own order.
+  setPriority(aRequest.places.inTime);
+  // The servers schedule short prompts between the long ones by themselves.
   if (!aRequest.demand.isLong || aRequest.hasBegun) {
     return;
   }
@@ -134,11 +137,11 @@
     return;
   }
   const auto limit = Duration(static_cast<Duration::rep>(
-    kLateShare * static_cast<double>(aRequest.target.count())));
+    kLateFraction * static_cast<double>(aRequest.target.count())));
   if (aRequest.spent + aPlacement.firstToken <= limit) {
     return;
   }
-  stand(aRequest.places.late);
+  setPriority(aRequest.places.late);
   aPlacement.timeliness =
     aRequest.isFirst && IsLateWaitTooLong(aPlacement.wait, aRequest.target)
       ? Timeliness::Hopeless
--- a/dogwoodvale/src/Placement/Placer.h
+++ b/dogwoodvale/src/Placement/Placer.h
@@ -14,69 +14,72 @@
 
 namespace dogwoodvale {
 
-/// Whether a prompt's first token can still come within its target.
+/// Whether the first token of an answer can still arrive within the latency
+/// target.
 ///
-/// A queue that forms in the first seconds of a rush makes every prompt late by
-/// the same wait. One that is late anyway loses little by waiting longer, and
-/// those that pass it are in time: at 24 modelled engines 0.37 of the long
-/// prompts are, and 0.28 with all in the order of their coming (three seeds,
+/// A queue that forms in the first seconds of an overload delays every prompt
+/// by the same wait. One that is late anyway loses little by waiting longer,
+/// and those that overtake it are in time: at 24 simulated engines 0.37 of the
+/// long prompts are in time, and 0.28 in order of arrival (three seeds,
 /// test/PlacementUnderLoad.cpp).
 enum class Timeliness : std::uint8_t
 {
   InTime,
-  /// It will miss the target wherever it goes, so it lets the others pass.
+  /// It will miss the target at any server, so the others overtake it.
   Late,
-  /// It would wait so long that coming back later is better.
+  /// It would wait so long that it is refused, to be retried later.
   Hopeless,
 };
 
 std::string_view
 TimelinessName(Timeliness aTimeliness);
 
-/// A request to be placed, for the first time or once more.
+/// A request to be placed, for its first attempt or a retry.
 struct PlacementRequest
 {
   const DirectDemand& demand;
   OrderPlaces places;
-  /// Of the route, to the first token.
+  /// The route's target for the time to the first token.
   Duration target{ 0 };
-  /// Since the request was accepted.
+  /// Time since the request was accepted.
   Duration spent{ 0 };
-  /// Most tokens of the answer.
+  /// Maximum tokens of the answer.
   std::uint32_t outputTokens = 0;
-  /// It was sent to no server yet, so it may be refused.
+  /// It has not been sent to any server, so it may still be refused.
   bool isFirst = true;
-  /// Its answer has begun and is to go on: others have no claim to pass it.
+  /// Its answer has begun and has to be continued: others do not overtake it.
   bool hasBegun = false;
-  /// A server may have read it already. It fetches nothing then: a source that
-  /// keeps the server waiting would cost a second attempt too.
+  /// A server may have prefilled it already. The server then fetches nothing,
+  /// as a source that does not answer in time could fail a second attempt too.
   bool wasRead = false;
 };
 
-/// Where a request goes, and what is expected there.
+/// The server chosen for a request, and what is expected there.
 struct Placement
 {
-  /// Place in the candidates that were given.
+  /// Index in the candidates that were given.
   std::size_t server = 0;
   Timeliness timeliness = Timeliness::InTime;
-  /// The request's in the server's order of service.
+  /// The request's scheduling priority at the server, 0 first.
   std::uint32_t place = 0;
-  /// From where the server copies parts of the prompt, if it does.
+  /// The server from which cached parts of the prompt are copied, if any.
   std::optional<FetchSource> fetch;
-  /// What the request adds to the server's work.
+  /// Work that the request adds to the server.
   BackendWork work;
-  /// Tokens that the server reads before its turn.
+  /// Tokens that the server prefills before this request.
   std::uint64_t prefillAhead = 0;
-  /// Until its turn, and until its first token; zero before the service's speed
-  /// is measured.
+  /// Expected time until its prefill starts; zero until the service's prefill
+  /// speed is measured.
   Duration wait{ 0 };
+  /// Expected time until its first token; zero likewise.
   Duration firstToken{ 0 };
-  /// The most that any candidate's cache holds of the prompt.
+  /// The largest number of the prompt's tokens that any candidate has cached.
   std::uint32_t mostCachedTokens = 0;
 };
 
-/// Decides where requests go: the server, whether it fetches cached parts, its
-/// place in the server's order of service, and whether it is refused instead.
+/// Decides for a request which server gets it, whether the server fetches
+/// cached parts, its scheduling priority there, and whether it is refused
+/// instead.
 class Placer
 {
 public:
@@ -84,10 +87,11 @@
   {
     /// See CacheFetchPolicy.
     bool fetchesCaches = true;
-    /// Prompts that will be late let the others pass; otherwise they are
-    /// refused sooner.
+    /// Prompts that will be late are overtaken by the others; if false, they
+    /// are refused sooner instead.
     bool lateLast = true;
-    /// Only reading that comes first by rank counts as a request's wait.
+    /// Only prefill of the same or an earlier priority counts towards a
+    /// request's wait; if false, all queued prefill does.
     bool rankedReading = true;
   };
 
@@ -96,18 +100,19 @@
   /// \param aChooser not null.
   Placer(std::unique_ptr<DirectChooser> aChooser, Options aOptions);
 
-  /// \return nothing where no candidate takes it.
+  /// \return nothing if there is no candidate.
   std::optional<Placement> Place(std::span<const DirectCandidate> aCandidates,
                                  const PlacementRequest& aRequest,
-                                 const PrefillFlow& aFlow,
+                                 const PrefillFlow& aStatistics,
                                  std::mt19937_64& aRandom);
 
 private:
-  void Judge(const DirectCandidate& aServer,
-             const PlacementRequest& aRequest,
-             std::uint32_t aToRead,
-             const PrefillFlow& aFlow,
-             Placement& aPlacement) const;
+  /// Sets the timeliness, priority and expected times of \p aPlacement.
+  void SetExpectations(const DirectCandidate& aServer,
+                       const PlacementRequest& aRequest,
+                       std::uint32_t aPrefillTokens,
+                       const PrefillFlow& aStatistics,
+                       Placement& aPlacement) const;
 
   std::unique_ptr<DirectChooser> chooser;
   std::unique_ptr<CacheFetchPolicy> fetches;
--- a/dogwoodvale/src/Placement/PrefillFlow.cpp
+++ b/dogwoodvale/src/Placement/PrefillFlow.cpp
@@ -7,17 +7,18 @@
 
 namespace {
 
-/// Weight of one more sample in the means: about the last 50 requests count,
-/// a second or two of a busy service.
-constexpr double kWeight = 0.02;
-/// The same for one server, of which a gateway sees fewer.
-constexpr double kServerWeight = 0.2;
-/// A server that hangs for one prompt must not look slow for ever.
-constexpr double kMostSlowness = 10.0;
-/// No prompt is long before this many are known.
-constexpr std::uint32_t kLeastSamples = 10;
-/// Taken for the mean stay until one is measured.
-constexpr Duration kFirstStay = seconds(1);
+/// Weight of a sample in the moving averages, so that about the last 50
+/// requests count, a second or two of a busy service.
+constexpr double kSampleWeight = 0.02;
+/// Weight of a sample in one server's averages, of which a gateway sees fewer.
+constexpr double kServerSampleWeight = 0.2;
+/// Upper bound of SlownessOf(), so that a server that hung for one prompt does
+/// not count as extremely slow from then on.
+constexpr double kMaxSlowness = 10.0;
+/// Prompts that must be known before any counts as long.
+constexpr std::uint32_t kMinSamples = 10;
+/// Mean time of a request until one is measured.
+constexpr Duration kInitialRequestTime = seconds(1);
 
 } // namespace
 
@@ -25,14 +26,14 @@
 PrefillFlow::OnRequest(std::uint32_t aPromptTokens)
 {
   ++this->samples;
-  const double weight = std::max(kWeight, 1.0 / this->samples);
+  const double weight = std::max(kSampleWeight, 1.0 / this->samples);
   this->meanTokens += weight * (aPromptTokens - this->meanTokens);
 }
 
 bool
 PrefillFlow::IsLong(std::uint32_t aPromptTokens) const
 {
-  return this->samples >= kLeastSamples && aPromptTokens > this->meanTokens;
+  return this->samples >= kMinSamples && aPromptTokens > this->meanTokens;
 }
 
 double
@@ -68,22 +69,22 @@
 }
 
 void
-PrefillFlow::OnStay(Duration aStay)
+PrefillFlow::OnStay(Duration aRequestTime)
 {
-  const auto micros = static_cast<double>(aStay.count());
+  const auto micros = static_cast<double>(aRequestTime.count());
   this->meanStayMicros += this->meanStayMicros == 0
                             ? micros
-                            : kWeight * (micros - this->meanStayMicros);
+                            : kSampleWeight * (micros - this->meanStayMicros);
 }
 
 Duration
 PrefillFlow::MeanStay() const
 {
-  constexpr double kLeastMicros = 1e4;
+  constexpr double kMinMicros = 1e4;
   return this->meanStayMicros == 0
-           ? kFirstStay
+           ? kInitialRequestTime
            : Duration(static_cast<Duration::rep>(
-               std::max(kLeastMicros, this->meanStayMicros)));
+               std::max(kMinMicros, this->meanStayMicros)));
 }
 
 void
@@ -92,16 +93,16 @@
                           Duration aLatency)
 {
   const auto tokens = static_cast<double>(aTokens);
-  // Short ones tell more of the way there and back than of reading.
+  // The latency of short prompts is more network round trip than prefill.
   if (tokens < this->meanTokens || aLatency <= Duration::zero()) {
     return;
   }
   const double sample = tokens / static_cast<double>(aLatency.count());
   this->tokensPerMicro += this->tokensPerMicro == 0
                             ? sample
-                            : kWeight * (sample - this->tokensPerMicro);
+                            : kSampleWeight * (sample - this->tokensPerMicro);
   double& own = this->speeds.try_emplace(aInstance, sample).first->second;
-  own += kServerWeight * (sample - own);
+  own += kServerSampleWeight * (sample - own);
 }
 
 double
@@ -111,7 +112,7 @@
   if (found == this->speeds.end() || found->second <= 0) {
     return 1.0;
   }
-  return std::clamp(this->tokensPerMicro / found->second, 1.0, kMostSlowness);
+  return std::clamp(this->tokensPerMicro / found->second, 1.0, kMaxSlowness);
 }
 
 std::optional<Duration>
@@ -132,15 +133,16 @@
 
 std::optional<Duration>
 PrefillFlow::HealthSample(std::uint32_t aPromptTokens,
-                          std::uint64_t aRead,
+                          std::uint64_t aPrefillTokens,
                           Duration aLatency) const
 {
-  const std::optional<Duration> expected = this->ExpectedRead(aRead);
+  const std::optional<Duration> expected = this->ExpectedRead(aPrefillTokens);
   if (!this->IsLong(aPromptTokens) || !expected ||
       *expected <= Duration::zero()) {
     return std::nullopt;
   }
-  // Any unit does, as servers are compared with each other.
+  // An arbitrary unit, in microseconds: samples are only compared with each
+  // other.
   constexpr Duration::rep kUnit = 100'000;
   return Duration(kUnit * aLatency.count() / expected->count());
 }
@@ -176,9 +178,9 @@
 void
 PrefillFlow::Seed(const PrefillLearning& aLearned)
 {
-  if (this->samples < kLeastSamples && aLearned.meanTokens > 0) {
+  if (this->samples < kMinSamples && aLearned.meanTokens > 0) {
     this->meanTokens = aLearned.meanTokens;
-    this->samples = static_cast<std::uint32_t>(1.0 / kWeight);
+    this->samples = static_cast<std::uint32_t>(1.0 / kSampleWeight);
   }
   if (this->tokensPerMicro == 0) {
     this->tokensPerMicro = aLearned.tokensPerMicro;
--- a/dogwoodvale/src/Placement/PrefillFlow.h
+++ b/dogwoodvale/src/Placement/PrefillFlow.h
@@ -10,81 +10,96 @@
 
 namespace dogwoodvale {
 
-/// What was learned of a service's reading; zero where nothing was.
+/// Measured averages of a service's prefill, to be saved over a restart; zero
+/// for those not measured.
 struct PrefillLearning
 {
+  /// Mean tokens of a prompt.
   double meanTokens = 0;
+  /// Prefill speed in tokens per microsecond.
   double tokensPerMicro = 0;
+  /// Mean time of a request from start to completion, in microseconds.
   double meanStayMicros = 0;
 };
 
-/// Which prompts of a service are long, and how much of them each backend
-/// server has had to read lately.
+/// Statistics of the prefill of one service: which prompts are long, how many
+/// tokens of long prompts each backend server has prefilled recently, and how
+/// fast servers prefill.
 ///
-/// An engine reads a long prompt in pieces between the steps of the answers
-/// that it generates; each piece makes every answer there wait. Answers with a
-/// bound on their pauses are late on a server that reads one long prompt after
-/// the other, however few requests it has.
+/// An engine prefills a long prompt in chunks between the decoding steps of the
+/// answers that it generates, and each chunk stalls all of these. Answers with
+/// a bound on their pauses are late on a server that prefills one long prompt
+/// after the other, however few requests it has.
 class PrefillFlow
 {
 public:
-  /// Learns from a request of the service.
+  /// Records the prompt of a request of the service.
   void OnRequest(std::uint32_t aPromptTokens);
-  /// Longer than the mean: those that carry most of the reading.
+  /// Whether the prompt is longer than the mean, as those that cause most of
+  /// the prefill are; false until enough prompts are known.
   bool IsLong(std::uint32_t aPromptTokens) const;
 
-  /// A long prompt was sent to the server, of which it reads \p aTokens.
+  /// Records that a long prompt was sent to the server, which prefills
+  /// \p aTokens of it.
   void OnLong(const InstanceName& aInstance,
               std::uint32_t aTokens,
               TimePoint aNow);
-  /// Tokens of long prompts sent there, each counting less the older it is.
+  /// Tokens of long prompts sent to the server, decaying exponentially with the
+  /// time constant MeanStay().
   double Recent(const InstanceName& aInstance, TimePoint aNow) const;
+  /// The server is gone: drops its statistics.
   void Forget(const InstanceName& aInstance);
 
-  /// A request of the service took this long in all.
-  void OnStay(Duration aStay);
-  /// The mean of it: what a server read in this time tells what it will read
-  /// beside the next request.
+  /// Records the time of a request of the service from start to completion.
+  void OnStay(Duration aRequestTime);
+  /// Moving average of these times. The prefill of a server in the last such
+  /// period predicts its prefill during the next request.
   Duration MeanStay() const;
 
-  /// A prompt of which \p aTokens had to be read, with what was ahead of it,
-  /// had its first token after \p aLatency.
+  /// Records that a first token came after \p aLatency.
+  /// \param aTokens tokens that the server had to prefill until then, of the
+  /// prompt and of those ahead of it.
   void OnFirstToken(const InstanceName& aInstance,
                     std::uint64_t aTokens,
                     Duration aLatency);
-  /// How much slower the server reads than its peers; 1 where it does not, or
-  /// is not known.
+  /// Factor by which the server prefills slower than the service's mean, from 1
+  /// to 10; 1 if it is not slower or not known.
   double SlownessOf(const InstanceName& aInstance) const;
-  /// What reading so many tokens takes at the service's mean speed; nothing
-  /// before it is measured.
+  /// Time to prefill so many tokens at the service's mean speed; nothing until
+  /// the speed is measured.
   std::optional<Duration> ExpectedRead(std::uint64_t aTokens) const;
-  /// Tokens that a server reads in this time at the service's mean speed; 0
-  /// before it is measured.
+  /// Tokens that a server prefills in this time at the service's mean speed; 0
+  /// until the speed is measured.
   double TokensIn(Duration aTime) const;
-  /// What a first token after \p aLatency says of a server's health, as a time
-  /// that can be compared among servers; nothing if it says nothing.
+  /// Normalises the latency of a first token so that it can be compared between
+  /// servers to judge their health: 100 ms means that it took as long as
+  /// ExpectedRead().
   ///
-  /// The latency itself says first of all how much the server had to read:
-  /// those that read long prompts look slow beside those that do not, and would
-  /// be taken out in turn. So it counts against what the reading takes at the
-  /// service's own speed, and only where reading is most of it.
-  /// \param aRead tokens of the prompt and of what was ahead.
+  /// The latency itself depends mainly on how much the server had to prefill:
+  /// servers with long prompts would look slow beside the others and be ejected
+  /// one after the other. So it is divided by the time that the prefill takes
+  /// at the service's mean speed, for long prompts only, where prefill is most
+  /// of the latency.
+  /// \param aPrefillTokens tokens of the prompt and of those ahead of it.
+  /// \return nothing for a short prompt or before the speed is measured.
   std::optional<Duration> HealthSample(std::uint32_t aPromptTokens,
-                                       std::uint64_t aRead,
+                                       std::uint64_t aPrefillTokens,
                                        Duration aLatency) const;
-  /// When a prompt's turn comes behind \p aTokens at the server; nothing before
-  /// the speed is measured.
+  /// Expected time for the server to prefill \p aTokens, by the service's mean
+  /// speed and its own slowness; nothing until the speed is measured.
   std::optional<Duration> WaitBehind(const InstanceName& aInstance,
                                      std::uint64_t aTokens) const;
-  /// Prefill that a server does in the time in which one of its slots comes
-  /// free, at the mean; nothing before it is measured.
+  /// Tokens that a server prefills in the mean time until one of its slots
+  /// becomes free; nothing if this is not measured or \p aSlots is 0.
   std::optional<double> TokensPerTurn(std::uint32_t aSlots) const;
 
+  /// The averages measured so far, for Seed() after a restart.
   PrefillLearning Learned() const;
-  /// Begins with what was learned before, as far as nothing is measured here.
+  /// Takes averages measured before a restart for those not measured yet.
   void Seed(const PrefillLearning& aLearned);
 
 private:
+  /// Sum of tokens, decayed to the time \c at.
   struct Sum
   {
     double tokens = 0;
@@ -97,7 +112,7 @@
   double meanStayMicros = 0;
   double tokensPerMicro = 0;
   absl::flat_hash_map<InstanceName, Sum> sums;
-  /// Tokens read in a microsecond, of each server.
+  /// Prefill speed of each server, in tokens per microsecond.
   absl::flat_hash_map<InstanceName, double> speeds;
 };
 
--- a/dogwoodvale/src/Placement/PromptStep.cpp
+++ b/dogwoodvale/src/Placement/PromptStep.cpp
@@ -9,7 +9,7 @@
 std::uint64_t
 Mix(std::uint64_t aSeed, std::uint64_t aValue)
 {
-  // A 64-bit finalizer; any good mixing does.
+  // A 64-bit finaliser; any one with good avalanche behaviour would do.
   std::uint64_t bits = aSeed * 0x9e3779b97f4a7c15ULL + aValue;
   bits ^= bits >> 32U;
   bits *= 0xd6e8feb86659fd93ULL;
--- a/dogwoodvale/src/Placement/PromptStep.h
+++ b/dogwoodvale/src/Placement/PromptStep.h
@@ -16,22 +16,23 @@
   std::uint32_t tokens = 0;
 };
 
-/// The part and all before it as one number: a cache holds a part only with
-/// all before it.
+/// A part identified by the hash of the prompt up to its end, as a prefix cache
+/// holds a part only together with all parts before it.
 struct PromptStep
 {
   PrefixHash hash = 0;
+  /// Tokens of the part alone.
   std::uint32_t tokens = 0;
 
   bool operator==(const PromptStep&) const = default;
 };
 
-/// \param aModel whose weights read the prompt: what one model has cached is of
-/// no use to another, on the same server either.
+/// \param aModel the model that prefills the prompt; part of the hash, because
+/// the cache of one model is of no use to another, even on the same server.
 std::vector<PromptStep>
 StepsOf(std::span<const PromptPart> aParts, std::string_view aModel = {});
 
-/// Tokens of all steps but the last, which belongs to the request itself.
+/// Tokens of all steps but the last, which only this request has.
 std::uint32_t
 SharedTokens(std::span<const PromptStep> aSteps);
 
--- a/dogwoodvale/src/Placement/ReservedServers.cpp
+++ b/dogwoodvale/src/Placement/ReservedServers.cpp
@@ -9,16 +9,18 @@
 
 namespace {
 
-/// Share of a reserved server's slots that is planned to be taken: the rest is
-/// for a burst until the number has followed, and for the loss of a server.
+/// Planned share of a reserved server's slots in use. The rest is for a burst,
+/// until more servers are reserved, and for the loss of a server.
 constexpr double kPlannedOccupancy = 0.5;
-/// In which the peak falls to a third. Longer than the answers take, so that a
-/// lull between two waves does not give the servers back to long prompts.
-constexpr Duration kPeakFall = seconds(4);
-/// At most this share of the servers. A reserved server reads next to nothing,
-/// so in a burst of interactive requests a larger share takes more from the
-/// long prompts than it gives. What finds no room goes where least is read.
-constexpr double kMostShare = 0.25;
+/// Time constant of the decay of the peak, in which it falls to 1/e. Longer
+/// than the answers take, so that a lull between two bursts does not give the
+/// servers back to long prompts.
+constexpr Duration kPeakDecayTime = seconds(4);
+/// Maximum share of the servers that is reserved. A reserved server does hardly
+/// any prefill, so in a burst of interactive requests a larger share costs the
+/// long prompts more than the interactive requests gain. Interactive requests
+/// that find no free slot there go to the server with the least prefill.
+constexpr double kMaxReservedShare = 0.25;
 
 } // namespace
 
@@ -46,13 +48,15 @@
                         TimePoint aNow)
 {
   const auto age = static_cast<double>(Between(this->updatedAt, aNow).count());
-  const double decay = std::exp(-age / static_cast<double>(kPeakFall.count()));
+  const double decay =
+    std::exp(-age / static_cast<double>(kPeakDecayTime.count()));
   this->updatedAt = aNow;
   this->peak = std::max(this->peak * decay, static_cast<double>(aInteractive));
-  const double most = std::floor(kMostShare * static_cast<double>(aServers));
+  const double maxCount =
+    std::floor(kMaxReservedShare * static_cast<double>(aServers));
   const double needed =
     std::ceil(this->peak / (kPlannedOccupancy * std::max(aSlots, 1U)));
-  this->count = static_cast<std::size_t>(std::min(needed, most));
+  this->count = static_cast<std::size_t>(std::min(needed, maxCount));
 }
 
 } // namespace dogwoodvale
--- a/dogwoodvale/src/Placement/ReservedServers.h
+++ b/dogwoodvale/src/Placement/ReservedServers.h
@@ -7,42 +7,46 @@
 
 namespace dogwoodvale {
 
-/// A server's place in the order in which servers of a service are reserved for
-/// interactive requests: the same at every gateway, with no word between them.
+/// Sort key for the order in which servers of a service are reserved for
+/// interactive requests: a hash of the name, so that all gateways reserve the
+/// same servers without exchanging messages.
 std::uint64_t
 ReservationOrder(const InstanceName& aInstance);
 
-/// How many servers of a service are reserved for its interactive requests, see
-/// PauseProfile.
+/// Computes how many servers of a service are reserved for its interactive
+/// requests, see PauseProfile.
 ///
-/// Streams with a bound of 200 ms beside prompts of 17,000 tokens, with none
-/// and with reserved servers: on 18 simulated engines 0.71 and 0.90 of their
-/// worth is served (four loads, three seeds each), on 52 near their limit 0.12
-/// and 0.68 (two loads).
+/// Of the worth of streams with a bound of 200 ms beside prompts of 17,000
+/// tokens, 0.71 is served without and 0.90 with reserved servers on 18
+/// simulated engines (four loads, three seeds each); on 52 engines near
+/// capacity it is 0.12 and 0.68 (two loads).
 ///
-/// The number follows from what the interactive requests take themselves. While
-/// they run beside long prompts they take longer, and more of them are under
-/// way; so the number starts high and falls as the reserved servers are emptied
-/// of long prompts.
+/// The number follows from the interactive requests in flight. While they share
+/// servers with long prompts they take longer, so more of them are in flight;
+/// the number therefore starts high and falls as the reserved servers complete
+/// their long prompts.
 class ReservedServers
 {
 public:
-  /// Interactive requests that were under way before this process began.
+  /// Raises the peak to the one known before this process started.
   void Seed(double aPeak, TimePoint aNow);
   double Peak() const { return this->peak; }
 
-  /// What is known of the service now, a few times a second.
-  /// \param aInteractive interactive requests under way on all its servers.
-  /// \param aSlots of one server, \p aServers that take work.
+  /// Recomputes the number; called a few times a second.
+  /// \param aInteractive interactive requests in flight on all servers of the
+  /// service.
+  /// \param aSlots concurrent requests of one server.
+  /// \param aServers servers that accept work.
   void Update(std::uint64_t aInteractive,
               std::uint32_t aSlots,
               std::size_t aServers,
               TimePoint aNow);
 
+  /// Number of servers to reserve.
   std::size_t Count() const { return this->count; }
 
 private:
-  /// Interactive requests under way: the peak, lowered slowly.
+  /// Peak of the interactive requests in flight, decaying exponentially.
   double peak = 0;
   TimePoint updatedAt{};
   std::size_t count = 0;
--- a/dogwoodvale/src/Placement/WorkTable.cpp
+++ b/dogwoodvale/src/Placement/WorkTable.cpp
@@ -9,7 +9,7 @@
 
 template<class Number>
 Number
-Less(Number aFrom, Number aTaken)
+SaturatingSubtract(Number aFrom, Number aTaken)
 {
   return aFrom - std::min(aFrom, aTaken);
 }
@@ -62,15 +62,16 @@
 BackendWork&
 BackendWork::operator-=(const BackendWork& aOther)
 {
-  this->requests = Less(this->requests, aOther.requests);
+  this->requests = SaturatingSubtract(this->requests, aOther.requests);
   for (std::size_t rank = 0; rank < kRanks; ++rank) {
     this->prefillTokens[rank] =
-      Less(this->prefillTokens[rank], aOther.prefillTokens[rank]);
-    this->requestsByRank[rank] =
-      Less(this->requestsByRank[rank], aOther.requestsByRank[rank]);
+      SaturatingSubtract(this->prefillTokens[rank], aOther.prefillTokens[rank]);
+    this->requestsByRank[rank] = SaturatingSubtract(
+      this->requestsByRank[rank], aOther.requestsByRank[rank]);
   }
-  this->memoryTokens = Less(this->memoryTokens, aOther.memoryTokens);
-  this->interactive = Less(this->interactive, aOther.interactive);
+  this->memoryTokens =
+    SaturatingSubtract(this->memoryTokens, aOther.memoryTokens);
+  this->interactive = SaturatingSubtract(this->interactive, aOther.interactive);
   return *this;
 }
 
@@ -93,35 +94,35 @@
                    TimePoint aNow)
 {
   Peer& peer = this->peers[aGateway];
-  this->Forget(peer);
+  this->Subtract(peer);
   peer.lines.assign(aLines.begin(), aLines.end());
-  peer.heard = aNow;
+  peer.receivedAt = aNow;
   for (const WorkLine& line : peer.lines) {
-    this->entries[line.instance].others += line.work;
+    this->entries[line.instance].peerWork += line.work;
   }
 }
 
 std::vector<InstanceName>
 WorkTable::Expire(TimePoint aNow)
 {
-  std::vector<InstanceName> gone;
+  std::vector<InstanceName> expired;
   for (const auto& [name, peer] : this->peers) {
-    if (Between(peer.heard, aNow) > kPeerLife) {
-      gone.push_back(name);
+    if (Between(peer.receivedAt, aNow) > kPeerTtl) {
+      expired.push_back(name);
     }
   }
-  for (const InstanceName& name : gone) {
-    this->Forget(this->peers[name]);
+  for (const InstanceName& name : expired) {
+    this->Subtract(this->peers[name]);
     this->peers.erase(name);
   }
-  return gone;
+  return expired;
 }
 
 void
-WorkTable::Forget(const Peer& aPeer)
+WorkTable::Subtract(const Peer& aPeer)
 {
   for (const WorkLine& line : aPeer.lines) {
-    this->entries[line.instance].others -= line.work;
+    this->entries[line.instance].peerWork -= line.work;
     this->DropIfEmpty(line.instance);
   }
 }
@@ -131,7 +132,7 @@
 {
   const auto found = this->entries.find(aInstance);
   if (found != this->entries.end() && found->second.own.IsNothing() &&
-      found->second.others.IsNothing()) {
+      found->second.peerWork.IsNothing()) {
     this->entries.erase(found);
   }
 }
@@ -144,7 +145,7 @@
     return {};
   }
   BackendWork sum = found->second.own;
-  sum += found->second.others;
+  sum += found->second.peerWork;
   return sum;
 }
 
--- a/dogwoodvale/src/Placement/WorkTable.h
+++ b/dogwoodvale/src/Placement/WorkTable.h
@@ -12,25 +12,27 @@
 
 namespace dogwoodvale {
 
-/// Work that is under way at one backend server.
+/// Work in flight at one backend server.
 struct BackendWork
 {
-  /// Ranks that are told apart; later ones count as the last.
+  /// Number of ranks that are distinguished; later ones count as the last.
   static constexpr std::size_t kRanks = 10;
 
-  /// Requests that have not ended.
+  /// Requests that are not complete.
   std::uint32_t requests = 0;
-  /// Prompt tokens of those that have no first token yet, as far as they are
-  /// not expected in its cache; by the requests' rank.
+  /// Prompt tokens, not expected in the server's cache, of the requests that
+  /// have no first token yet; by the requests' rank.
   std::array<std::uint64_t, kRanks> prefillTokens{};
-  /// Tokens that they take in its KV cache, prompt and expected answer.
+  /// Tokens that the requests take in its KV cache, for prompts and expected
+  /// answers.
   std::uint64_t memoryTokens = 0;
-  /// Those of the requests that are interactive, see PauseProfile.
+  /// Number of the requests that are interactive, see PauseProfile.
   std::uint32_t interactive = 0;
-  /// The requests by their rank.
+  /// Number of the requests by rank; all zero in reports of gateways of older
+  /// versions.
   std::array<std::uint32_t, kRanks> requestsByRank{};
 
-  /// Waits to be read before a request of this rank, or with it.
+  /// Prefill tokens of this rank and of those before it.
   std::uint64_t PrefillUpTo(std::uint32_t aRank) const;
   std::uint64_t Prefill() const { return this->PrefillUpTo(kRanks - 1); }
   std::uint64_t& PrefillAt(std::uint32_t aRank);
@@ -44,56 +46,59 @@
   BackendWork& operator-=(const BackendWork& aOther);
 };
 
-/// One line of what a gateway tells the others.
+/// Work of one gateway at one backend server, as reported to other gateways.
 struct WorkLine
 {
   InstanceName instance;
   BackendWork work;
 };
 
-/// Sums the work that all gateways have at each backend server: this one's own
-/// as it is, the others' as they last told it.
+/// Sums the work of all gateways at each backend server: this gateway's own as
+/// it is now, that of its peers as last reported.
 ///
-/// A backend server's own report of its load is older than the decisions it
-/// should guide, and does not say how much prefill waits. What gateways tell
-/// each other is as old as one message.
+/// A load report from the backend server itself would be older than the
+/// decisions it should guide and does not contain the queued prefill. Reports
+/// between gateways are as old as one message.
 class WorkTable
 {
 public:
-  /// After this long with no word a gateway is taken as gone, and its work
-  /// with it: a backend server drops requests whose connection closes.
-  static constexpr Duration kPeerLife = seconds(1);
+  /// A gateway that has not reported for this long is taken to be gone, and its
+  /// work with it, since a backend server drops requests whose connection
+  /// closes.
+  static constexpr Duration kPeerTtl = seconds(1);
 
   void AddOwn(const InstanceName& aInstance, const BackendWork& aWork);
   void RemoveOwn(const InstanceName& aInstance, const BackendWork& aWork);
 
-  /// Replaces what \p aGateway told before.
+  /// Replaces what \p aGateway reported before.
   void SetPeer(const InstanceName& aGateway,
                std::span<const WorkLine> aLines,
                TimePoint aNow);
-  /// Drops gateways that have been silent. \return those dropped.
+  /// Removes gateways that have not reported for kPeerTtl.
+  /// \return the removed gateways.
   std::vector<InstanceName> Expire(TimePoint aNow);
 
   BackendWork Total(const InstanceName& aInstance) const;
   BackendWork Own(const InstanceName& aInstance) const;
-  /// This gateway's own work, for the others.
+  /// This gateway's own work, to be reported to its peers.
   std::vector<WorkLine> OwnLines() const;
-  /// Gateways heard of lately, without this one.
+  /// Number of other gateways with a current report.
   std::size_t PeerCount() const { return this->peers.size(); }
 
 private:
   struct Entry
   {
     BackendWork own;
-    BackendWork others;
+    BackendWork peerWork;
   };
   struct Peer
   {
     std::vector<WorkLine> lines;
-    TimePoint heard{};
+    TimePoint receivedAt{};
   };
 
-  void Forget(const Peer& aPeer);
+  /// Subtracts a peer's work from the entries.
+  void Subtract(const Peer& aPeer);
   void DropIfEmpty(const InstanceName& aInstance);
 
   absl::flat_hash_map<InstanceName, Entry> entries;
--- a/dogwoodvale/src/Quarantine/BrokenRuns.cpp
+++ b/dogwoodvale/src/Quarantine/BrokenRuns.cpp
@@ -11,9 +11,10 @@
                 TimePoint aNow)
 {
   const auto [at, isFirst] =
-    this->servers.try_emplace(aInstance, Broken{ {}, aNow });
-  if (at->second.runs.size() < kMostRuns) {
-    at->second.runs.push_back({ aRequest, ServerKeyOf(aInstance), aWeight });
+    this->servers.try_emplace(aInstance, ServerAttempts{ {}, aNow });
+  if (at->second.attempts.size() < kMaxAttempts) {
+    at->second.attempts.push_back(
+      { aRequest, ServerKeyOf(aInstance), aWeight });
   }
   return isFirst;
 }
@@ -25,9 +26,9 @@
   if (found == this->servers.end()) {
     return {};
   }
-  std::vector<CrashEvidence> runs = std::move(found->second.runs);
+  std::vector<CrashEvidence> attempts = std::move(found->second.attempts);
   this->servers.erase(found);
-  return runs;
+  return attempts;
 }
 
 void
@@ -40,10 +41,11 @@
 BrokenRuns::HasJustBroken(RequestFingerprint aRequest, TimePoint aNow) const
 {
   return std::ranges::any_of(this->servers, [&](const auto& aItem) {
-    const Broken& server = aItem.second;
-    return Between(server.since, aNow) < kVerdictComes &&
-           std::ranges::find(server.runs, aRequest, &CrashEvidence::request) !=
-             server.runs.end();
+    const ServerAttempts& server = aItem.second;
+    return Between(server.since, aNow) < kProbeWait &&
+           std::ranges::find(server.attempts,
+                             aRequest,
+                             &CrashEvidence::request) != server.attempts.end();
   });
 }
 
@@ -51,7 +53,7 @@
 BrokenRuns::Open() const
 {
   std::vector<InstanceName> names;
-  for (const auto& [name, broken] : this->servers) {
+  for (const auto& [name, attempts] : this->servers) {
     names.push_back(name);
   }
   return names;
@@ -61,7 +63,7 @@
 BrokenRuns::Expire(TimePoint aNow)
 {
   std::erase_if(this->servers, [aNow](const auto& aItem) {
-    return Between(aItem.second.since, aNow) > kOpenFor;
+    return Between(aItem.second.since, aNow) > kResolveTimeout;
   });
 }
 
--- a/dogwoodvale/src/Quarantine/BrokenRuns.h
+++ b/dogwoodvale/src/Quarantine/BrokenRuns.h
@@ -9,45 +9,50 @@
 
 namespace dogwoodvale {
 
-/// Requests whose attempts broke off, until it is known whether their server
-/// ended: one that lost a single answer, or whose link was cut, lives on, and
-/// blames nobody.
+/// Attempts whose connection broke, kept until it is known whether their server
+/// has exited. A server that lost a single answer or its network link is still
+/// alive, and its broken attempts are no evidence against a request.
 class BrokenRuns
 {
 public:
-  /// \return whether this is the server's first that waits for the verdict.
+  /// Adds an attempt whose connection broke.
+  /// \return whether it is the first unresolved one of its server.
   bool Add(const InstanceName& aInstance,
            RequestFingerprint aRequest,
            CrashWeight aWeight,
            TimePoint aNow);
-  /// The server has ended. \return what that says of the requests it ran.
+  /// The server has exited: removes its attempts.
+  /// \return them as evidence; empty if there are none.
   std::vector<CrashEvidence> OnEnded(const InstanceName& aInstance);
-  /// The server takes connections.
+  /// The server accepts connections: its attempts are discarded.
   void OnAlive(const InstanceName& aInstance);
-  /// Whether an attempt of it broke off a moment ago, so that the verdict on
-  /// its server is still to come.
+  /// Whether an attempt of the request is at a server whose first unresolved
+  /// break was less than kProbeWait ago, so that the result of the probe of
+  /// this server may still come.
   bool HasJustBroken(RequestFingerprint aRequest, TimePoint aNow) const;
-  /// Servers on which the verdict is open.
+  /// Servers with unresolved attempts.
   std::vector<InstanceName> Open() const;
+  /// Discards the attempts of servers that are unresolved after
+  /// kResolveTimeout.
   void Expire(TimePoint aNow);
 
-  /// Servers send heartbeats every second or two and are taken off the list
-  /// after a few; by then it is known whether this one ended.
-  static constexpr Duration kOpenFor = seconds(10);
-  /// A probe is sent after a twentieth of a second and answered within a round
-  /// trip. A server that says nothing must not hold requests up for longer.
-  static constexpr Duration kVerdictComes = milliseconds(150);
-  /// Requests of one server; more are under way at none.
-  static constexpr std::size_t kMostRuns = 512;
+  /// Servers send heartbeats every second or two and are removed from the list
+  /// after missing a few, so by then it is known whether this one has exited.
+  static constexpr Duration kResolveTimeout = seconds(10);
+  /// A probe is sent after 50 ms and answered within a round trip. A server
+  /// that does not answer must not delay requests for longer.
+  static constexpr Duration kProbeWait = milliseconds(150);
+  /// Maximum attempts per server; no server has more in flight.
+  static constexpr std::size_t kMaxAttempts = 512;
 
 private:
-  struct Broken
+  struct ServerAttempts
   {
-    std::vector<CrashEvidence> runs;
+    std::vector<CrashEvidence> attempts;
     TimePoint since{};
   };
 
-  std::map<InstanceName, Broken> servers;
+  std::map<InstanceName, ServerAttempts> servers;
 };
 
 } // namespace dogwoodvale
--- a/dogwoodvale/src/Quarantine/CopiesUnderWay.cpp
+++ b/dogwoodvale/src/Quarantine/CopiesUnderWay.cpp
@@ -25,29 +25,30 @@
                           TimePoint aNow)
 {
   if (aRequests.empty()) {
-    this->others.erase(aGateway);
+    this->peerReports.erase(aGateway);
     return;
   }
-  this->others[aGateway] = { { aRequests.begin(), aRequests.end() }, aNow };
+  this->peerReports[aGateway] = { { aRequests.begin(), aRequests.end() },
+                                  aNow };
 }
 
 bool
 CopiesUnderWay::HasAny(RequestFingerprint aRequest, TimePoint aNow) const
 {
   return this->HasOwn(aRequest) ||
-         std::ranges::any_of(this->others, [&](const auto& aItem) {
-           const Others& told = aItem.second;
-           return Between(told.heard, aNow) <= kWordLife &&
-                  std::ranges::find(told.requests, aRequest) !=
-                    told.requests.end();
+         std::ranges::any_of(this->peerReports, [&](const auto& aItem) {
+           const PeerReport& report = aItem.second;
+           return Between(report.receivedAt, aNow) <= kReportTtl &&
+                  std::ranges::find(report.requests, aRequest) !=
+                    report.requests.end();
          });
 }
 
 void
 CopiesUnderWay::Expire(TimePoint aNow)
 {
-  std::erase_if(this->others, [aNow](const auto& aItem) {
-    return Between(aItem.second.heard, aNow) > kWordLife;
+  std::erase_if(this->peerReports, [aNow](const auto& aItem) {
+    return Between(aItem.second.receivedAt, aNow) > kReportTtl;
   });
 }
 
--- a/dogwoodvale/src/Quarantine/CopiesUnderWay.h
+++ b/dogwoodvale/src/Quarantine/CopiesUnderWay.h
@@ -11,14 +11,15 @@
 
 namespace dogwoodvale {
 
-/// Copies of each request at backend servers: this gateway's own, and those of
-/// suspects that other gateways tell of.
+/// Requests in flight at backend servers: how many duplicates of each, of the
+/// same fingerprint, this gateway has sent, and which suspects the other
+/// gateways report.
 class CopiesUnderWay
 {
 public:
   void OnSent(RequestFingerprint aRequest);
   void OnDone(RequestFingerprint aRequest);
-  /// Replaces what a gateway told before.
+  /// Replaces what \p aGateway reported before.
   void SetOthers(const InstanceName& aGateway,
                  std::span<const RequestFingerprint> aRequests,
                  TimePoint aNow);
@@ -27,22 +28,23 @@
   {
     return this->own.contains(aRequest);
   }
+  /// Whether this or another gateway has it in flight.
   bool HasAny(RequestFingerprint aRequest, TimePoint aNow) const;
-  /// Forgets gateways that have fallen silent.
+  /// Drops gateways whose last report is older than kReportTtl.
   void Expire(TimePoint aNow);
 
-  /// What a gateway told counts for this long: several of its messages.
-  static constexpr Duration kWordLife = seconds(1);
+  /// Time to live of a gateway's report, several of its message periods.
+  static constexpr Duration kReportTtl = seconds(1);
 
 private:
-  struct Others
+  struct PeerReport
   {
     std::vector<RequestFingerprint> requests;
-    TimePoint heard{};
+    TimePoint receivedAt{};
   };
 
   absl::flat_hash_map<RequestFingerprint, std::uint32_t> own;
-  std::map<InstanceName, Others> others;
+  std::map<InstanceName, PeerReport> peerReports;
 };
 
 } // namespace dogwoodvale
--- a/dogwoodvale/src/Quarantine/CrashEvidence.cpp
+++ b/dogwoodvale/src/Quarantine/CrashEvidence.cpp
@@ -19,7 +19,7 @@
   if (aBroken.hasHead) {
     return CrashWeight::Early;
   }
-  if (aBroken.timedOut || aBroken.after < kLeastRun) {
+  if (aBroken.timedOut || aBroken.after < kMinRunTime) {
     return std::nullopt;
   }
   return CrashWeight::Early;
--- a/dogwoodvale/src/Quarantine/CrashEvidence.h
+++ b/dogwoodvale/src/Quarantine/CrashEvidence.h
@@ -7,24 +7,25 @@
 
 namespace dogwoodvale {
 
-/// Names one incarnation of a backend server, the same at every gateway.
+/// Identifies one run of a backend server process; the same at every gateway.
 using ServerKey = std::uint64_t;
 
 ServerKey
 ServerKeyOf(const InstanceName& aInstance);
 
-/// How much the end of a server says against a request that it ran.
+/// Weight of a server exit as evidence against a request in flight there.
 enum class CrashWeight : std::uint8_t
 {
-  /// Nothing: the request has been answered since, or another one is to blame.
+  /// None: the request has been answered since, or the exit is attributed to
+  /// another one.
   None = 0,
-  /// A part of its answer had come: it had been run for a while.
+  /// A part of its answer had been received, so it had run for a while.
   Late = 1,
-  /// Nothing of its answer had come.
+  /// Nothing of its answer had been received.
   Early = 2,
 };
 
-/// One request was under way at one server when that server ended.
+/// One request was in flight at one server when that server exited.
 struct CrashEvidence
 {
   RequestFingerprint request = 0;
@@ -34,27 +35,28 @@
   bool operator==(const CrashEvidence&) const = default;
 };
 
-/// What a gateway saw of an attempt whose connection broke.
+/// What a gateway observed of an attempt whose connection broke.
 struct BrokenAttempt
 {
-  /// The answer's head had come.
+  /// The response headers had been received.
   bool hasHead = false;
-  /// A part of the answer had come.
+  /// A part of the response body had been received.
   bool hasPart = false;
-  /// The link fell silent, with no reset.
+  /// The connection timed out, without a reset.
   bool timedOut = false;
-  /// From the sending to the break.
+  /// Time from sending the request to the break.
   Duration after{ 0 };
 };
 
-/// A server that has gone resets what reaches it within a round trip. Without
-/// this bound a request that is sent on from server to server while all of them
-/// are killed would seem to have crashed each one.
-inline constexpr Duration kLeastRun = milliseconds(10);
+/// Shortest time to a break that counts as evidence. The host of a server that
+/// has exited resets connections within a round trip. Without this bound a
+/// request that is retried at one server after another while all of them are
+/// being killed would seem to have crashed each one.
+inline constexpr Duration kMinRunTime = milliseconds(10);
 
-/// What the break says if the server turns out to have ended; nothing if the
-/// request may not have reached a live server, as when a rack loses its power
-/// and whatever is sent there falls silent.
+/// \return the weight of the break as evidence if the server turns out to have
+/// exited; nothing if the request may not have reached a live server, as when a
+/// rack loses power and connections to it time out.
 std::optional<CrashWeight>
 WeighBreak(const BrokenAttempt& aBroken);
 
--- a/dogwoodvale/src/Quarantine/CrashLedger.cpp
+++ b/dogwoodvale/src/Quarantine/CrashLedger.cpp
@@ -9,12 +9,12 @@
 namespace {
 
 std::uint32_t
-Points(CrashWeight aWeight)
+Score(CrashWeight aWeight)
 {
   return static_cast<std::uint32_t>(aWeight);
 }
 
-/// "None" is the last word on an end; else the strongest counts.
+/// CrashWeight::None is final; otherwise the higher weight counts.
 CrashWeight
 Merge(CrashWeight aOne, CrashWeight aOther)
 {
@@ -23,13 +23,13 @@
   return isSettled ? CrashWeight::None : std::max(aOne, aOther);
 }
 
-template<class Ends>
+template<class Exits>
 std::uint32_t
-Sum(const Ends& aEnds)
+Sum(const Exits& aExits)
 {
   std::uint32_t sum = 0;
-  for (const auto& end : aEnds) {
-    sum += Points(end.weight);
+  for (const auto& exit : aExits) {
+    sum += Score(exit.weight);
   }
   return sum;
 }
@@ -46,21 +46,22 @@
                   Source aSource,
                   TimePoint aNow)
 {
-  const bool speaks = aEvidence.weight != CrashWeight::None;
-  if (speaks && this->IsExplained(aEvidence.server, aEvidence.request)) {
+  const bool isEvidence = aEvidence.weight != CrashWeight::None;
+  if (isEvidence &&
+      this->IsAttributedToOther(aEvidence.server, aEvidence.request)) {
     return;
   }
-  if (!speaks && !this->suspects.contains(aEvidence.request)) {
+  if (!isEvidence && !this->suspects.contains(aEvidence.request)) {
     return;
   }
   Suspect& suspect = this->SuspectOf(aEvidence.request, aNow);
   const auto known =
-    std::ranges::find(suspect.ends, aEvidence.server, &End::server);
-  if (known == suspect.ends.end()) {
-    if (suspect.ends.size() >= kMostEnds) {
-      suspect.ends.erase(suspect.ends.begin());
+    std::ranges::find(suspect.exits, aEvidence.server, &ServerExit::server);
+  if (known == suspect.exits.end()) {
+    if (suspect.exits.size() >= kMaxExits) {
+      suspect.exits.erase(suspect.exits.begin());
     }
-    suspect.ends.push_back(
+    suspect.exits.push_back(
       { aEvidence.server, aEvidence.weight, aSource, aNow });
   } else {
     const CrashWeight merged = Merge(known->weight, aEvidence.weight);
@@ -69,10 +70,10 @@
     }
     known->weight = merged;
     known->source = aSource;
-    known->heard = aNow;
+    known->receivedAt = aNow;
   }
-  if (speaks && this->IsConvicted(aEvidence.request)) {
-    this->ExplainEnds(aEvidence.request);
+  if (isEvidence && this->HasUnliftedVerdict(aEvidence.request)) {
+    this->AttributeExits(aEvidence.request);
   }
 }
 
@@ -80,79 +81,82 @@
 CrashLedger::SuspectOf(RequestFingerprint aRequest, TimePoint aNow)
 {
   if (!this->suspects.contains(aRequest) &&
-      this->suspects.size() >= kMostSuspects) {
-    this->DropWeakest();
+      this->suspects.size() >= kMaxSuspects) {
+    this->EvictWeakest();
   }
   Suspect& suspect = this->suspects[aRequest];
-  suspect.touched = aNow;
+  suspect.updatedAt = aNow;
   return suspect;
 }
 
 void
-CrashLedger::DropWeakest()
+CrashLedger::EvictWeakest()
 {
   const auto weakest =
     std::ranges::min_element(this->suspects, {}, [](const auto& aItem) {
-      return std::tuple(Sum(aItem.second.ends), aItem.second.touched);
+      return std::tuple(Sum(aItem.second.exits), aItem.second.updatedAt);
     });
   this->suspects.erase(weakest);
 }
 
 bool
-CrashLedger::IsConvicted(RequestFingerprint aRequest) const
+CrashLedger::HasUnliftedVerdict(RequestFingerprint aRequest) const
 {
   const auto found = this->verdicts.find(aRequest);
   return found != this->verdicts.end() && !found->second.isLifted;
 }
 
 bool
-CrashLedger::IsExplained(ServerKey aServer, RequestFingerprint aRequest) const
+CrashLedger::IsAttributedToOther(ServerKey aServer,
+                                 RequestFingerprint aRequest) const
 {
-  const auto found = this->explained.find(aServer);
-  return found != this->explained.end() && found->second != aRequest;
+  const auto found = this->attributedTo.find(aServer);
+  return found != this->attributedTo.end() && found->second != aRequest;
 }
 
 bool
-CrashLedger::Leads(RequestFingerprint aRequest,
-                   std::span<const End> aEnds) const
+CrashLedger::LeadsAtAnyExit(RequestFingerprint aRequest,
+                            std::span<const ServerExit> aExits) const
 {
-  const std::uint32_t score = Sum(aEnds);
+  const std::uint32_t score = Sum(aExits);
   const auto isRival = [&](const auto& aOther, ServerKey aServer) {
-    return aOther.first != aRequest && Sum(aOther.second.ends) >= score &&
-           std::ranges::any_of(aOther.second.ends, [&](const End& aTheirs) {
-             return aTheirs.server == aServer &&
-                    aTheirs.weight != CrashWeight::None;
-           });
+    return aOther.first != aRequest && Sum(aOther.second.exits) >= score &&
+           std::ranges::any_of(aOther.second.exits,
+                               [&](const ServerExit& aTheirs) {
+                                 return aTheirs.server == aServer &&
+                                        aTheirs.weight != CrashWeight::None;
+                               });
   };
-  return std::ranges::any_of(aEnds, [&](const End& aEnd) {
+  return std::ranges::any_of(aExits, [&](const ServerExit& aExit) {
     return std::ranges::none_of(this->suspects, [&](const auto& aOther) {
-      return isRival(aOther, aEnd.server);
+      return isRival(aOther, aExit.server);
     });
   });
 }
 
 bool
-CrashLedger::IsToQuarantine(RequestFingerprint aRequest,
-                            const Suspect& aSuspect,
-                            TimePoint aNow) const
+CrashLedger::ShouldQuarantine(RequestFingerprint aRequest,
+                              const Suspect& aSuspect,
+                              TimePoint aNow) const
 {
-  std::vector<End> settled;
+  std::vector<ServerExit> settled;
   std::ranges::copy_if(
-    aSuspect.ends, std::back_inserter(settled), [&](const End& aEnd) {
-      return aEnd.weight != CrashWeight::None &&
-             Between(aEnd.heard, aNow) >= kSettle;
+    aSuspect.exits, std::back_inserter(settled), [&](const ServerExit& aExit) {
+      return aExit.weight != CrashWeight::None &&
+             Between(aExit.receivedAt, aNow) >= kSettleTime;
     });
   const auto verdict = this->verdicts.find(aRequest);
   if (verdict != this->verdicts.end() && !verdict->second.isLifted) {
-    // One that is back from quarantine and crashes again goes there at once.
-    const TimePoint over = verdict->second.until;
-    return over <= aNow && std::ranges::any_of(settled, [&](const End& aEnd) {
-             return aEnd.heard > over;
+    // One crash after the quarantine has expired suffices for the next one.
+    const TimePoint expiredAt = verdict->second.endsAt;
+    return expiredAt <= aNow &&
+           std::ranges::any_of(settled, [&](const ServerExit& aExit) {
+             return aExit.receivedAt > expiredAt;
            });
   }
   const std::uint32_t score = Sum(settled);
   return score >= kCertainScore ||
-         (score >= kQuarantineScore && this->Leads(aRequest, settled));
+         (score >= kQuarantineScore && this->LeadsAtAnyExit(aRequest, settled));
 }
 
 std::vector<RequestFingerprint>
@@ -160,9 +164,9 @@
 {
   std::vector<RequestFingerprint> quarantined;
   for (const auto& [request, suspect] : this->suspects) {
-    const bool isCandidate =
-      Sum(suspect.ends) >= kQuarantineScore || this->verdicts.contains(request);
-    if (isCandidate && this->IsToQuarantine(request, suspect, aNow)) {
+    const bool isCandidate = Sum(suspect.exits) >= kQuarantineScore ||
+                             this->verdicts.contains(request);
+    if (isCandidate && this->ShouldQuarantine(request, suspect, aNow)) {
       quarantined.push_back(request);
     }
   }
@@ -179,64 +183,66 @@
   const std::uint32_t round =
     before == this->verdicts.end() ? 1 : before->second.round + 1;
   this->SetVerdict(aRequest, { round, false, aNow + this->quarantine, aNow });
-  this->ExplainEnds(aRequest);
+  this->AttributeExits(aRequest);
 }
 
 void
 CrashLedger::SetVerdict(RequestFingerprint aRequest, const Verdict& aVerdict)
 {
   if (!this->verdicts.contains(aRequest) &&
-      this->verdicts.size() >= kMostVerdicts) {
-    const auto first = std::ranges::min_element(
-      this->verdicts, {}, [](const auto& aItem) { return aItem.second.until; });
-    this->ForgetExplained(first->first);
+      this->verdicts.size() >= kMaxVerdicts) {
+    const auto first =
+      std::ranges::min_element(this->verdicts, {}, [](const auto& aItem) {
+        return aItem.second.endsAt;
+      });
+    this->DropAttributions(first->first);
     this->verdicts.erase(first);
   }
   this->verdicts[aRequest] = aVerdict;
 }
 
 void
-CrashLedger::ExplainEnds(RequestFingerprint aRequest)
+CrashLedger::AttributeExits(RequestFingerprint aRequest)
 {
   const auto culprit = this->suspects.find(aRequest);
   if (culprit == this->suspects.end()) {
     return;
   }
-  for (const End& end : culprit->second.ends) {
-    if (end.weight != CrashWeight::None) {
-      this->explained.try_emplace(end.server, aRequest);
+  for (const ServerExit& exit : culprit->second.exits) {
+    if (exit.weight != CrashWeight::None) {
+      this->attributedTo.try_emplace(exit.server, aRequest);
     }
   }
   for (auto& [request, suspect] : this->suspects) {
-    for (End& end : suspect.ends) {
-      if (end.weight != CrashWeight::None &&
-          this->IsExplained(end.server, request)) {
-        end.weight = CrashWeight::None;
+    for (ServerExit& exit : suspect.exits) {
+      if (exit.weight != CrashWeight::None &&
+          this->IsAttributedToOther(exit.server, request)) {
+        exit.weight = CrashWeight::None;
       }
     }
   }
 }
 
 void
-CrashLedger::ForgetExplained(RequestFingerprint aRequest)
+CrashLedger::DropAttributions(RequestFingerprint aRequest)
 {
-  absl::erase_if(this->explained, [aRequest](const auto& aItem) {
+  absl::erase_if(this->attributedTo, [aRequest](const auto& aItem) {
     return aItem.second == aRequest;
   });
 }
 
 void
-CrashLedger::ClearEnds(RequestFingerprint aRequest, TimePoint aNow)
+CrashLedger::ClearExits(RequestFingerprint aRequest, TimePoint aNow)
 {
   const auto found = this->suspects.find(aRequest);
   if (found == this->suspects.end()) {
     return;
   }
-  for (End& end : found->second.ends) {
-    if (end.weight != CrashWeight::None) {
-      end.weight = CrashWeight::None;
-      end.source = Source::Own;
-      end.heard = aNow;
+  for (ServerExit& exit : found->second.exits) {
+    if (exit.weight != CrashWeight::None) {
+      exit.weight = CrashWeight::None;
+      exit.source = Source::Own;
+      exit.receivedAt = aNow;
     }
   }
 }
@@ -248,17 +254,18 @@
   const auto order = [](std::uint32_t aRound, bool aIsLifted) {
     return std::pair(aRound, aIsLifted);
   };
-  const auto told = order(aVerdict.round, aVerdict.isLifted);
+  const auto theirs = order(aVerdict.round, aVerdict.isLifted);
   if (known != this->verdicts.end()) {
     Verdict& ours = known->second;
-    if (order(ours.round, ours.isLifted) > told) {
-      // Whoever said this has missed ours: it is told again.
-      ours.heard = aNow;
+    if (order(ours.round, ours.isLifted) > theirs) {
+      // The sender has missed our verdict: restart its repetition.
+      ours.receivedAt = aNow;
       return false;
     }
-    // The time left is taken once: two gateways that each took the other's
-    // again and again would add up the ways between them and never end it.
-    if (order(ours.round, ours.isLifted) == told) {
+    // The remaining time is applied once per round: two gateways that kept
+    // applying each other's would add the network delay to it each time, and
+    // the quarantine would never expire.
+    if (order(ours.round, ours.isLifted) == theirs) {
       return false;
     }
   }
@@ -268,10 +275,10 @@
                      aNow + std::min(aVerdict.left, this->quarantine),
                      aNow });
   if (aVerdict.isLifted) {
-    this->ForgetExplained(aVerdict.request);
-    this->ClearEnds(aVerdict.request, aNow);
+    this->DropAttributions(aVerdict.request);
+    this->ClearExits(aVerdict.request, aNow);
   } else {
-    this->ExplainEnds(aVerdict.request);
+    this->AttributeExits(aVerdict.request);
   }
   return true;
 }
@@ -279,15 +286,15 @@
 bool
 CrashLedger::OnAnswered(RequestFingerprint aRequest, TimePoint aNow)
 {
-  this->ClearEnds(aRequest, aNow);
+  this->ClearExits(aRequest, aNow);
   const auto verdict = this->verdicts.find(aRequest);
   if (verdict == this->verdicts.end() || verdict->second.isLifted) {
     return false;
   }
-  this->ForgetExplained(aRequest);
+  this->DropAttributions(aRequest);
   verdict->second.isLifted = true;
-  verdict->second.until = aNow;
-  verdict->second.heard = aNow;
+  verdict->second.endsAt = aNow;
+  verdict->second.receivedAt = aNow;
   return true;
 }
 
@@ -298,7 +305,7 @@
   if (found == this->verdicts.end() || found->second.isLifted) {
     return Duration::zero();
   }
-  return std::max(Between(aNow, found->second.until), Duration::zero());
+  return std::max(Between(aNow, found->second.endsAt), Duration::zero());
 }
 
 CrashStanding
@@ -308,7 +315,7 @@
     return CrashStanding::Quarantined;
   }
   const bool isSuspect =
-    this->ScoreOf(aRequest) > 0 || this->IsConvicted(aRequest);
+    this->ScoreOf(aRequest) > 0 || this->HasUnliftedVerdict(aRequest);
   return isSuspect ? CrashStanding::Suspect : CrashStanding::Clear;
 }
 
@@ -319,12 +326,12 @@
   if (found == this->suspects.end()) {
     return false;
   }
-  const bool wouldSuffice = Sum(found->second.ends) >= kQuarantineScore;
+  const bool wouldSuffice = Sum(found->second.exits) >= kQuarantineScore;
   const Duration settles =
-    wouldSuffice ? Duration(kSettle + kJudgePeriod) : kOthersAreHeard;
-  return std::ranges::any_of(found->second.ends, [&](const End& aEnd) {
-    return aEnd.weight != CrashWeight::None &&
-           Between(aEnd.heard, aNow) < settles;
+    wouldSuffice ? Duration(kSettleTime + kJudgePeriod) : kPeerEvidenceDelay;
+  return std::ranges::any_of(found->second.exits, [&](const ServerExit& aExit) {
+    return aExit.weight != CrashWeight::None &&
+           Between(aExit.receivedAt, aNow) < settles;
   });
 }
 
@@ -332,7 +339,7 @@
 CrashLedger::ScoreOf(RequestFingerprint aRequest) const
 {
   const auto found = this->suspects.find(aRequest);
-  return found == this->suspects.end() ? 0 : Sum(found->second.ends);
+  return found == this->suspects.end() ? 0 : Sum(found->second.exits);
 }
 
 std::optional<QuarantineVerdict>
@@ -351,13 +358,13 @@
 CrashNews
 CrashLedger::News(TimePoint aNow) const
 {
-  const auto isNew = [aNow](TimePoint aHeard) {
-    return Between(aHeard, aNow) < kNewFor;
+  const auto isNew = [aNow](TimePoint aReceivedAt) {
+    return Between(aReceivedAt, aNow) < kRepeatTime;
   };
   CrashNews news;
   for (const auto& [request, verdict] : this->verdicts) {
     const Duration left = this->QuarantineLeft(request, aNow);
-    if (left > Duration::zero() || isNew(verdict.heard)) {
+    if (left > Duration::zero() || isNew(verdict.receivedAt)) {
       news.verdicts.push_back(
         { request, verdict.round, verdict.isLifted, left });
     }
@@ -369,12 +376,12 @@
   };
   std::vector<Line> lines;
   for (const auto& [request, suspect] : this->suspects) {
-    for (const End& end : suspect.ends) {
-      const bool isToTell =
-        end.source == Source::Own || suspect.ends.size() > 1;
-      if (isToTell && isNew(end.heard)) {
+    for (const ServerExit& exit : suspect.exits) {
+      const bool isToSend =
+        exit.source == Source::Own || suspect.exits.size() > 1;
+      if (isToSend && isNew(exit.receivedAt)) {
         lines.push_back(
-          { Sum(suspect.ends), { request, end.server, end.weight } });
+          { Sum(suspect.exits), { request, exit.server, exit.weight } });
       }
     }
   }
@@ -393,7 +400,7 @@
 {
   std::vector<RequestFingerprint> requests;
   for (const auto& [request, suspect] : this->suspects) {
-    if (Sum(suspect.ends) > 0) {
+    if (Sum(suspect.exits) > 0) {
       requests.push_back(request);
     }
   }
@@ -404,12 +411,12 @@
 CrashLedger::Expire(TimePoint aNow)
 {
   absl::erase_if(this->suspects, [aNow](const auto& aItem) {
-    return Between(aItem.second.touched, aNow) > kMemory;
+    return Between(aItem.second.updatedAt, aNow) > kRetention;
   });
   absl::erase_if(this->verdicts, [&](const auto& aItem) {
-    const bool isOver = Between(aItem.second.until, aNow) > kMemory;
+    const bool isOver = Between(aItem.second.endsAt, aNow) > kRetention;
     if (isOver) {
-      this->ForgetExplained(aItem.first);
+      this->DropAttributions(aItem.first);
     }
     return isOver;
   });
--- a/dogwoodvale/src/Quarantine/CrashLedger.h
+++ b/dogwoodvale/src/Quarantine/CrashLedger.h
@@ -10,33 +10,33 @@
 
 namespace dogwoodvale {
 
-/// What is known of a request.
+/// Whether a request may be sent to backend servers.
 enum class CrashStanding : std::uint8_t
 {
-  /// Nothing against it.
+  /// No evidence against it.
   Clear,
-  /// It was under way at a server that ended, or its quarantine is over: one
-  /// copy of it runs at a time.
+  /// It was in flight at a server that exited, or its quarantine has expired:
+  /// only one of its duplicates runs at a time.
   Suspect,
-  /// It is kept from servers.
+  /// It is not sent to any server.
   Quarantined,
 };
 
-/// Puts a request into quarantine or takes it out, for all gateways.
+/// Quarantines a request or lifts its quarantine, at all gateways.
 struct QuarantineVerdict
 {
   RequestFingerprint request = 0;
-  /// Counts the quarantines of a request; a later one outweighs an earlier.
+  /// Number of quarantines of this request so far; the higher round overrides.
   std::uint32_t round = 0;
-  /// Its last quarantine is taken back: a server has answered it.
+  /// The quarantine of this round is lifted: a server has answered the request.
   bool isLifted = false;
-  /// What is left of the quarantine.
+  /// Remaining time of the quarantine.
   Duration left{ 0 };
 
   bool operator==(const QuarantineVerdict&) const = default;
 };
 
-/// What one gateway tells the others of crashes.
+/// Evidence and verdicts that one gateway sends to the others.
 struct CrashNews
 {
   std::vector<CrashEvidence> evidence;
@@ -48,17 +48,21 @@
   }
 };
 
-/// Which request is to blame when servers end one after the other.
+/// Finds the request that crashes servers when several exit in succession.
 ///
-/// All that a server ran breaks off with it, so each end speaks against all of
-/// these requests. Only the one to blame is there again at the next end, and it
-/// is never answered. A request is put into quarantine when it was under way at
-/// three ends, with nothing of its answer sent, and led at one of them: no
-/// other request there was at as many. It then explains these ends, which no
-/// longer speak against others. An answer clears a request.
+/// Every request in flight at a server breaks off when the server exits, so an
+/// exit is evidence against all of them. Only the request that caused it is in
+/// flight again at the next exit, and it is never answered. A request is
+/// quarantined when its score reaches kQuarantineScore, as after three exits
+/// with nothing of its answer sent, and it leads at one of these exits: no
+/// other request in flight there has as high a score. The exits are then
+/// attributed to it and no longer count against others. An answer clears a
+/// request.
 ///
-/// What gateways tell each other merges in any order and any number of times:
-/// evidence by its strongest word, "none" being the last; verdicts by round.
+/// Updates from other gateways may be merged in any order and any number of
+/// times: of two weights for one exit the higher counts, except that
+/// CrashWeight::None is final; of two verdicts the one of the later round
+/// counts, within a round the lifted one.
 class CrashLedger
 {
 public:
@@ -70,111 +74,133 @@
 
   explicit CrashLedger(Duration aQuarantine);
 
-  /// \param aSource who saw it.
+  /// Adds evidence that a request was in flight at a server that exited.
+  /// \param aSource whether this gateway observed it or another reported it.
   void Take(const CrashEvidence& aEvidence, Source aSource, TimePoint aNow);
-  /// Judges by what was heard at least kSettle ago; call each kJudgePeriod.
-  /// \return requests that are in quarantine by this.
+  /// Evaluates the evidence received at least kSettleTime ago; called every
+  /// kEvaluationPeriod.
+  /// \return requests that this call quarantines.
   std::vector<RequestFingerprint> Judge(TimePoint aNow);
-  /// Takes another gateway's verdict. \return whether it was news.
+  /// Applies another gateway's verdict.
+  /// \return whether it overrides the one known here.
   bool Take(const QuarantineVerdict& aVerdict, TimePoint aNow);
   /// A server has answered the request.
-  /// \return whether its quarantine is lifted by this.
+  /// \return whether this lifts its quarantine.
   bool OnAnswered(RequestFingerprint aRequest, TimePoint aNow);
 
   CrashStanding StandingOf(RequestFingerprint aRequest, TimePoint aNow) const;
-  /// What is left of its quarantine; zero if it is in none.
+  /// Remaining time of its quarantine; zero if it is not quarantined.
   Duration QuarantineLeft(RequestFingerprint aRequest, TimePoint aNow) const;
-  /// Whether more evidence is about to be heard, or what there is would suffice
-  /// and has not settled yet. Sending it meanwhile would end a server each
-  /// time.
+  /// Whether more evidence may still arrive from other gateways, or the
+  /// evidence would suffice for a quarantine but has not been evaluated yet. A
+  /// request that crashes servers would crash another one each time it is sent
+  /// in this state.
   bool IsUndecided(RequestFingerprint aRequest, TimePoint aNow) const;
-  /// Evidence against it, a sum of CrashWeight.
+  /// Sum of the CrashWeight values of the evidence against it.
   std::uint32_t ScoreOf(RequestFingerprint aRequest) const;
-  /// Its newest verdict, for a place that outlives this process.
+  /// Its current verdict, for storage that outlives this process; nothing if
+  /// there is none.
   std::optional<QuarantineVerdict> VerdictOf(RequestFingerprint aRequest,
                                              TimePoint aNow) const;
 
-  /// News for the others: quarantines always, since a gateway that was cut off
-  /// or has just started has missed them; the rest while it is new. What was
-  /// told is told on only of requests that were at two ends or more: those that
-  /// were at one are many, and every gateway near has heard it at first hand.
+  /// Update for the other gateways. Active quarantines are always included,
+  /// since a gateway that was disconnected or has just started has missed them;
+  /// everything else for kRepeatTime. Evidence from other gateways is forwarded
+  /// only for requests with two exits or more: those with one exit are many,
+  /// and every gateway nearby has received their evidence first-hand.
   CrashNews News(TimePoint aNow) const;
+  /// Requests with a score above 0.
   std::vector<RequestFingerprint> Suspects() const;
+  /// Drops evidence and verdicts older than kRetention.
   void Expire(TimePoint aNow);
 
+  /// Number of requests with evidence, including evidence of no weight.
   std::size_t SuspectCount() const { return this->suspects.size(); }
   std::size_t QuarantinedCount(TimePoint aNow) const;
 
-  /// Three servers that ended before anything was answered.
+  /// Three exits of servers that had sent nothing of the answer.
   static constexpr std::uint32_t kQuarantineScore = 6;
-  /// Enough whoever else was there: a request that never leads, since another
-  /// is always with it, must not go on for ever.
+  /// Sufficient without leading: two requests that are always in flight
+  /// together never lead, and must not crash servers indefinitely.
   static constexpr std::uint32_t kCertainScore = 2 * kQuarantineScore;
-  /// Ends that are kept of one request; three to six decide.
-  static constexpr std::size_t kMostEnds = 16;
-  /// 2,048 suspects and 256 verdicts take under 1 MiB. The weakest, then the
-  /// oldest suspects go first, so that a flood of requests that were there once
-  /// can't push out one that was there twice.
-  static constexpr std::size_t kMostSuspects = 2048;
-  static constexpr std::size_t kMostVerdicts = 256;
-  /// How long evidence counts, and a quarantine that is over is remembered:
-  /// the next crash then puts the request back at once.
-  static constexpr Duration kMemory = seconds(600);
-  /// One server's end is told by each gateway that had a request there. Judged
-  /// by what came first, a request that is not to blame would seem to have been
-  /// there alone. By then the others have been heard: three datagrams between
-  /// thirty gateways.
-  static constexpr Duration kSettle = milliseconds(500);
-  /// Other gateways that ran copies of the same request tell of their ends.
-  static constexpr Duration kOthersAreHeard = milliseconds(200);
+  /// Exits kept per request; three to six decide.
+  static constexpr std::size_t kMaxExits = 16;
+  /// 2,048 suspects and 256 verdicts take under 1 MiB. The suspect with the
+  /// lowest score, and of these the oldest, is evicted first, so that a flood
+  /// of requests with one exit cannot evict one with two.
+  static constexpr std::size_t kMaxSuspects = 2048;
+  static constexpr std::size_t kMaxVerdicts = 256;
+  /// Retention of evidence, and of a quarantine after it has expired: within
+  /// this time one further crash quarantines the request again.
+  static constexpr Duration kRetention = seconds(600);
+  /// Each gateway that had a request at a server reports its exit. If only the
+  /// first report were evaluated, an innocent request would seem to have been
+  /// the only one in flight there. After this time the other reports have
+  /// arrived: between thirty gateways three datagrams are sent within it.
+  static constexpr Duration kSettleTime = milliseconds(500);
+  /// Time in which reports arrive from other gateways that had duplicates of
+  /// the request in flight.
+  static constexpr Duration kPeerEvidenceDelay = milliseconds(200);
   static constexpr Duration kJudgePeriod = milliseconds(200);
-  /// News is repeated for this long: thirty datagrams between four gateways,
-  /// nine between thirty, of which some are lost.
-  static constexpr Duration kNewFor = milliseconds(1500);
-  /// Most lines of each kind in one message, 3 KB together.
+  /// Time for which an entry is repeated, as datagrams may be lost: in thirty
+  /// datagrams between four gateways, in nine between thirty.
+  static constexpr Duration kRepeatTime = milliseconds(1500);
+  /// Maximum evidence entries and maximum verdicts in one message, 3 KB
+  /// together.
   static constexpr std::size_t kMostNews = 96;
 
 private:
-  struct End
+  struct ServerExit
   {
     ServerKey server = 0;
     CrashWeight weight = CrashWeight::None;
     Source source = Source::Own;
-    TimePoint heard{};
+    TimePoint receivedAt{};
   };
   struct Suspect
   {
-    std::vector<End> ends;
-    TimePoint touched{};
+    std::vector<ServerExit> exits;
+    TimePoint updatedAt{};
   };
   struct Verdict
   {
     std::uint32_t round = 0;
     bool isLifted = false;
-    TimePoint until{};
-    TimePoint heard{};
+    TimePoint endsAt{};
+    TimePoint receivedAt{};
   };
 
   Suspect& SuspectOf(RequestFingerprint aRequest, TimePoint aNow);
-  void DropWeakest();
-  bool IsExplained(ServerKey aServer, RequestFingerprint aRequest) const;
-  bool IsConvicted(RequestFingerprint aRequest) const;
-  bool IsToQuarantine(RequestFingerprint aRequest,
-                      const Suspect& aSuspect,
-                      TimePoint aNow) const;
-  /// Whether no other request at one of these ends has as high a score.
-  bool Leads(RequestFingerprint aRequest, std::span<const End> aEnds) const;
+  /// Evicts the suspect with the lowest score, of these the oldest.
+  void EvictWeakest();
+  /// Whether the server's exit is attributed to another request.
+  bool IsAttributedToOther(ServerKey aServer,
+                           RequestFingerprint aRequest) const;
+  /// Whether it has a verdict that is not lifted; the quarantine itself may
+  /// have expired.
+  bool HasUnliftedVerdict(RequestFingerprint aRequest) const;
+  bool ShouldQuarantine(RequestFingerprint aRequest,
+                        const Suspect& aSuspect,
+                        TimePoint aNow) const;
+  /// Whether there is an exit in \p aExits at which no other request in flight
+  /// has as high a score.
+  bool LeadsAtAnyExit(RequestFingerprint aRequest,
+                      std::span<const ServerExit> aExits) const;
   void Quarantine(RequestFingerprint aRequest, TimePoint aNow);
   void SetVerdict(RequestFingerprint aRequest, const Verdict& aVerdict);
-  void ExplainEnds(RequestFingerprint aRequest);
-  void ForgetExplained(RequestFingerprint aRequest);
-  void ClearEnds(RequestFingerprint aRequest, TimePoint aNow);
-
+  /// Attributes the exits of the request to it; evidence against others at
+  /// these exits loses its weight.
+  void AttributeExits(RequestFingerprint aRequest);
+  void DropAttributions(RequestFingerprint aRequest);
+  /// Takes the weight from all evidence against the request.
+  void ClearExits(RequestFingerprint aRequest, TimePoint aNow);
+
+  /// Length of a quarantine.
   Duration quarantine;
   absl::flat_hash_map<RequestFingerprint, Suspect> suspects;
   absl::flat_hash_map<RequestFingerprint, Verdict> verdicts;
-  /// Servers that ended, and the request that is to blame.
-  absl::flat_hash_map<ServerKey, RequestFingerprint> explained;
+  /// The request that each exit is attributed to.
+  absl::flat_hash_map<ServerKey, RequestFingerprint> attributedTo;
 };
 
 } // namespace dogwoodvale
--- a/dogwoodvale/src/Quarantine/RequestFingerprint.cpp
+++ b/dogwoodvale/src/Quarantine/RequestFingerprint.cpp
@@ -9,8 +9,8 @@
 RequestFingerprint
 FingerprintOf(const RequestContent& aContent, std::string_view aSecret)
 {
-  // The body may be megabytes: it is hashed by the fast function, and only the
-  // short text with its result by the keyed one.
+  // The body may be megabytes: it is hashed by the fast unkeyed function, and
+  // only the short text that contains the result by the slower keyed one.
   const XXH128_hash_t body =
     XXH3_128bits(aContent.body.data(), aContent.body.size());
   const std::string text = fmt::format("{}\n{}\n{}\n{:016x}{:016x}",
--- a/dogwoodvale/src/Quarantine/RequestFingerprint.h
+++ b/dogwoodvale/src/Quarantine/RequestFingerprint.h
@@ -9,11 +9,11 @@
 
 namespace dogwoodvale {
 
-/// Names the content of a request: the same at every gateway, on every
-/// connection and under every attempt's id. 0 for none.
+/// Keyed hash of the content of a request: the same at every gateway, on every
+/// connection and for every attempt. 0 for none.
 using RequestFingerprint = std::uint64_t;
 
-/// What makes two requests the same.
+/// The content by which two requests are the same.
 struct RequestContent
 {
   CustomerName customer;
@@ -23,9 +23,10 @@
   std::string_view body;
 };
 
-/// \param aSecret shared by all gateways. Without it a caller could look for
-/// two bodies with one fingerprint and have another's request taken for its
-/// own; the customer is part of it besides, so only its own.
+/// \param aSecret shared by all gateways. Without it a caller could search for
+/// two bodies with the same fingerprint, so that one request is taken for the
+/// other. The customer is hashed too, so a collision would only affect requests
+/// of the same customer.
 RequestFingerprint
 FingerprintOf(const RequestContent& aContent, std::string_view aSecret);
 
--- a/test/CrashModel.cpp
+++ b/test/CrashModel.cpp
@@ -17,43 +17,48 @@
 {
   std::size_t gateways = 30;
   std::size_t servers = 50;
-  /// Others' requests a second, each of one second.
+  /// Requests per second that crash nothing, each taking one second.
   double othersPerSecond = 300;
-  Duration crashingEach = milliseconds(700);
-  /// Share of datagrams that are lost.
+  /// Interval at which the crashing request is sent.
+  Duration crashInterval = milliseconds(700);
+  /// Fraction of datagrams that are lost.
   double loss = 0.05;
   Duration length = seconds(20);
-  /// How often a request is sent again, to another server by another gateway,
-  /// when its server ends.
+  /// Retries of a request when its server exits, each at another server by
+  /// another gateway.
   int repeats = 0;
   unsigned seed = 1;
 };
 
 struct ModelResult
 {
-  std::size_t ends = 0;
-  /// Sent to a server later than kContact after the third end.
-  std::size_t lateRuns = 0;
+  std::size_t exits = 0;
+  /// Runs of the crashing request sent later than kContact after the third
+  /// exit.
+  std::size_t lateAttempts = 0;
   std::size_t othersQuarantined = 0;
-  /// From the third end until each gateway keeps the request from servers.
+  /// Time from the third exit until all gateways quarantine the request.
   Duration knownAfter = Duration::max();
-  /// Of crashes alone, in the worst second of any gateway.
+  /// Bytes for crash updates alone, in the worst second of any gateway.
   std::size_t mostBytesPerSecond = 0;
   std::size_t mostSuspects = 0;
 };
 
-/// A fleet of gateways' ledgers before servers that end under one request. What
-/// a server ran is known to its gateways a twentieth of a second after its end;
-/// they tell each other as PeerExchange does: to all of the cell, and to one
-/// gateway anywhere.
+/// Simulates the ledgers of a fleet of gateways, with servers that one request
+/// crashes. Gateways know of a server's exit after kDetectionTime and send
+/// updates as PeerExchange does: to all gateways of their cell and to one at
+/// random.
 class CrashModel
 {
 public:
+  /// Time within which connected gateways must have quarantined a request.
   static constexpr Duration kContact = seconds(3);
   static constexpr Duration kCrashesAfter = milliseconds(100);
-  static constexpr Duration kVerdictAfter = milliseconds(50);
-  static constexpr Duration kComesBack = seconds(3);
-  static constexpr Duration kStay = seconds(1);
+  /// Time from a server's exit until its gateways know of it.
+  static constexpr Duration kDetectionTime = milliseconds(50);
+  static constexpr Duration kRestartTime = seconds(3);
+  /// Time in which a server answers a request.
+  static constexpr Duration kRequestTime = seconds(1);
 
   explicit CrashModel(ModelOptions aOptions)
     : options(aOptions)
@@ -77,10 +82,10 @@
     for (auto step = 0; step < steps; ++step) {
       this->now += kStep;
       this->Arrive(step);
-      this->TendServers();
-      this->HearVerdicts();
-      this->Tell(step);
-      this->Judge(step);
+      this->StepServers();
+      this->ReportExits();
+      this->SendUpdates(step);
+      this->EvaluateLedgers(step);
     }
     return this->result;
   }
@@ -92,10 +97,10 @@
     std::size_t cell = 0;
     CrashLedger ledger{ seconds(600) };
     bool knows = false;
-    Duration nextTell{ 0 };
+    Duration nextUpdate{ 0 };
     std::size_t bytesInSecond = 0;
   };
-  struct Run
+  struct Attempt
   {
     RequestFingerprint request = 0;
     std::size_t gateway = 0;
@@ -105,13 +110,13 @@
   struct Server
   {
     ServerKey key = 0;
-    std::vector<Run> runs;
+    std::vector<Attempt> attempts;
     TimePoint backAt{};
   };
-  struct Ended
+  struct Exited
   {
     ServerKey key = 0;
-    std::vector<Run> runs;
+    std::vector<Attempt> attempts;
     TimePoint at{};
   };
 
@@ -134,76 +139,77 @@
           CrashStanding::Quarantined) {
       return;
     }
-    server.runs.push_back({ aRequest, gateway, this->now, aRepeats });
-    const bool isLate = this->thirdEnd && aRequest == kCrashing &&
-                        Between(*this->thirdEnd, this->now) > kContact;
-    this->result.lateRuns += isLate ? 1 : 0;
+    server.attempts.push_back({ aRequest, gateway, this->now, aRepeats });
+    const bool isLate = this->thirdExit && aRequest == kCrashing &&
+                        Between(*this->thirdExit, this->now) > kContact;
+    this->result.lateAttempts += isLate ? 1 : 0;
   }
 
   void Arrive(long aStep)
   {
-    if ((aStep * kStep) % this->options.crashingEach < kStep) {
+    if ((aStep * kStep) % this->options.crashInterval < kStep) {
       this->Send(kCrashing, 0);
     }
-    const double each =
+    const double expected =
       this->options.othersPerSecond * static_cast<double>(kStep.count()) / 1e6;
-    for (double left = each; left > 0; left -= 1) {
+    for (double left = expected; left > 0; left -= 1) {
       if (this->Chance(left)) {
         this->Send(++this->lastOther, this->options.repeats);
       }
     }
   }
 
-  void TendServers()
+  void StepServers()
   {
     for (Server& server : this->servers) {
       const bool crashes =
-        std::ranges::any_of(server.runs, [&](const Run& aRun) {
-          return aRun.request == kCrashing &&
-                 Between(aRun.since, this->now) >= kCrashesAfter;
+        std::ranges::any_of(server.attempts, [&](const Attempt& aAttempt) {
+          return aAttempt.request == kCrashing &&
+                 Between(aAttempt.since, this->now) >= kCrashesAfter;
         });
       if (crashes) {
-        this->End(server);
+        this->Exit(server);
       }
-      std::erase_if(server.runs, [&](const Run& aRun) {
-        const bool isAnswered = Between(aRun.since, this->now) >= kStay;
+      std::erase_if(server.attempts, [&](const Attempt& aAttempt) {
+        const bool isAnswered =
+          Between(aAttempt.since, this->now) >= kRequestTime;
         if (isAnswered) {
-          this->gateways[aRun.gateway].ledger.OnAnswered(aRun.request,
-                                                         this->now);
+          this->gateways[aAttempt.gateway].ledger.OnAnswered(aAttempt.request,
+                                                             this->now);
         }
         return isAnswered;
       });
     }
   }
 
-  void End(Server& aServer)
+  void Exit(Server& aServer)
   {
-    this->ended.push_back(
-      { aServer.key, std::move(aServer.runs), this->now + kVerdictAfter });
-    aServer = { ++this->lastServer, {}, this->now + kComesBack };
-    if (++this->result.ends == 3) {
-      this->thirdEnd = this->now;
+    this->exited.push_back(
+      { aServer.key, std::move(aServer.attempts), this->now + kDetectionTime });
+    aServer = { ++this->lastServer, {}, this->now + kRestartTime };
+    if (++this->result.exits == 3) {
+      this->thirdExit = this->now;
     }
   }
 
-  void HearVerdicts()
+  void ReportExits()
   {
-    while (!this->ended.empty() && this->ended.front().at <= this->now) {
-      const Ended& end = this->ended.front();
-      for (const Run& run : end.runs) {
-        const bool hadPart =
-          Between(run.since, end.at) > kCrashesAfter + kVerdictAfter;
-        this->gateways[run.gateway].ledger.Take(
-          { run.request,
-            end.key,
-            hadPart ? CrashWeight::Late : CrashWeight::Early },
+    while (!this->exited.empty() && this->exited.front().at <= this->now) {
+      const Exited& exit = this->exited.front();
+      for (const Attempt& attempt : exit.attempts) {
+        const bool hadBody =
+          Between(attempt.since, exit.at) > kCrashesAfter + kDetectionTime;
+        this->gateways[attempt.gateway].ledger.Take(
+          { attempt.request,
+            exit.key,
+            hadBody ? CrashWeight::Late : CrashWeight::Early },
           CrashLedger::Source::Own,
           this->now);
-        if (run.repeats > 0) {
-          this->Send(run.request, run.repeats - 1);
+        if (attempt.repeats > 0) {
+          this->Send(attempt.request, attempt.repeats - 1);
         }
       }
-      this->ended.pop_front();
+      this->exited.pop_front();
     }
   }
 
@@ -220,21 +226,21 @@
     return targets;
   }
 
-  void Tell(long aStep)
+  void SendUpdates(long aStep)
   {
     const std::size_t empty = WriteDigest({}, "secret").size();
     for (Gateway& from : this->gateways) {
       if (aStep % 100 == 0) {
         from.bytesInSecond = 0;
       }
-      from.nextTell -= kStep;
-      if (from.nextTell > Duration::zero()) {
+      from.nextUpdate -= kStep;
+      if (from.nextUpdate > Duration::zero()) {
         continue;
       }
       const std::vector<std::size_t> targets = this->Targets(from);
-      from.nextTell = std::max(PeerExchange::kLeastDigestPeriod,
-                               Duration(seconds(targets.size())) /
-                                 PeerExchange::kDigestsPerSecond);
+      from.nextUpdate = std::max(PeerExchange::kLeastDigestPeriod,
+                                 Duration(seconds(targets.size())) /
+                                   PeerExchange::kDigestsPerSecond);
       PeerDigest digest;
       digest.crashes = from.ledger.News(this->now);
       from.bytesInSecond +=
@@ -243,13 +249,13 @@
         std::max(this->result.mostBytesPerSecond, from.bytesInSecond);
       for (const std::size_t target : targets) {
         if (!this->Chance(this->options.loss)) {
-          this->Hear(this->gateways[target], digest.crashes);
+          this->Apply(this->gateways[target], digest.crashes);
         }
       }
     }
   }
 
-  void Hear(Gateway& aGateway, const CrashNews& aNews) const
+  void Apply(Gateway& aGateway, const CrashNews& aNews) const
   {
     for (const QuarantineVerdict& verdict : aNews.verdicts) {
       aGateway.ledger.Take(verdict, this->now);
@@ -259,7 +265,7 @@
     }
   }
 
-  void Judge(long aStep)
+  void EvaluateLedgers(long aStep)
   {
     if (aStep % (CrashLedger::kJudgePeriod / kStep) != 0) {
       return;
@@ -275,7 +281,7 @@
         std::max(this->result.mostSuspects, gateway.ledger.SuspectCount());
     }
     if (allKnow && this->result.knownAfter == Duration::max()) {
-      this->result.knownAfter = Between(*this->thirdEnd, this->now);
+      this->result.knownAfter = Between(*this->thirdExit, this->now);
     }
   }
 
@@ -283,15 +289,16 @@
   std::mt19937 random;
   std::vector<Gateway> gateways;
   std::vector<Server> servers;
-  std::deque<Ended> ended;
+  std::deque<Exited> exited;
   TimePoint now = kStart;
   ServerKey lastServer = 0;
   RequestFingerprint lastOther = kCrashing;
-  std::optional<TimePoint> thirdEnd;
+  std::optional<TimePoint> thirdExit;
   ModelResult result;
 };
 
-/// A hundredth of the slowest link that a gateway has, 10 Mbit/s.
+/// A hundredth of the slowest link of a gateway, 10 Mbit/s, in bytes per
+/// second.
 constexpr std::size_t kMostBytes = 12'500;
 
 void
@@ -301,35 +308,36 @@
     aOptions.seed = seed;
     const ModelResult result = CrashModel(aOptions).Play();
     UNSCOPED_INFO(fmt::format(
-      "seed {}: {} ends, {} late, known after {} ms, {} bytes a second, {} "
+      "seed {}: {} exits, {} late, known after {} ms, {} bytes a second, {} "
       "suspects",
       seed,
-      result.ends,
-      result.lateRuns,
+      result.exits,
+      result.lateAttempts,
       result.knownAfter.count() / 1000,
       result.mostBytesPerSecond,
       result.mostSuspects));
-    CHECK(result.ends >= 3);
-    CHECK(result.lateRuns <= 3);
+    CHECK(result.exits >= 3);
+    CHECK(result.lateAttempts <= 3);
     CHECK(result.othersQuarantined == 0);
     CHECK(result.knownAfter <= CrashModel::kContact);
     CHECK(result.mostBytesPerSecond <= kMostBytes);
-    CHECK(result.mostSuspects <= CrashLedger::kMostSuspects);
+    CHECK(result.mostSuspects <= CrashLedger::kMaxSuspects);
   }
 }
 
 } // namespace
 
-// One request ends a server of fifty each 0.7 s, at gateways drawn at random,
-// while each server runs others. Each gateway sees a few of the ends; together
-// they have to blame the one request, and no other, within the time that a
-// gateway in touch has.
-TEST_CASE("thirty gateways blame the request that ends servers", "[model]")
+// One request crashes one of fifty servers every 0.7 s, sent by random
+// gateways, while each server runs other requests. Each gateway sees a few
+// of the exits; together they have to quarantine this request, and no other,
+// within kContact, the time allowed for gateways that are connected.
+TEST_CASE("thirty gateways quarantine the request that crashes servers",
+          "[model]")
 {
   CheckFleet({});
 }
 
-TEST_CASE("three hundred gateways in cells blame it as well", "[model]")
+TEST_CASE("three hundred gateways in cells quarantine it as well", "[model]")
 {
   ModelOptions options;
   options.gateways = 300;
@@ -338,23 +346,25 @@
   CheckFleet(options);
 }
 
-TEST_CASE("a third of the datagrams may be lost", "[model]")
+TEST_CASE("a crashing request is quarantined with a third of datagrams lost",
+          "[model]")
 {
   ModelOptions options;
   options.loss = 0.33;
   CheckFleet(options);
 }
 
-// Few servers end one after the other under one request, each with many others,
-// which are sent again and again and so are at several of the ends. None of
-// them is to blame, and none may be refused.
-TEST_CASE("requests that are sent on from end to end are not blamed", "[model]")
+// One request crashes a few servers in succession. The many other requests in
+// flight there are retried and so are present at several exits, but none of
+// these may be quarantined.
+TEST_CASE("requests that are retried after each exit are not quarantined",
+          "[model]")
 {
   ModelOptions options;
   options.gateways = 4;
   options.servers = 8;
   options.othersPerSecond = 100;
-  options.crashingEach = milliseconds(400);
+  options.crashInterval = milliseconds(400);
   options.repeats = 5;
   CheckFleet(options);
 }
--- a/test/Placement.cpp
+++ b/test/Placement.cpp
@@ -28,9 +28,10 @@
   return candidate;
 }
 
-/// Streams with a loose bound whose longest pause is this.
+/// Records requests of both bounds, and streams with the loose bound that have
+/// this longest pause.
 void
-PlayLoose(PauseProfile& aProfile, Duration aLongest)
+RecordLoose(PauseProfile& aProfile, Duration aLongest)
 {
   for (int i = 0; i < 500; ++i) {
     aProfile.OnRequest(i % 3 == 0 ? kTight : kLoose);
@@ -40,20 +41,21 @@
 
 } // namespace
 
-TEST_CASE("streams with the tightest bound are interactive where others pause",
+TEST_CASE("streams with the tightest bound are interactive if others pause",
           "[placement]")
 {
   PauseProfile profile;
-  PlayLoose(profile, milliseconds(180));
+  RecordLoose(profile, milliseconds(180));
   CHECK(profile.IsInteractive(kTight));
   CHECK_FALSE(profile.IsInteractive(kLoose));
-  // Nothing is gained by keeping them apart where no one has to pause.
-  PlayLoose(profile, milliseconds(40));
+  // There is no reason to separate them if no stream has long pauses.
+  RecordLoose(profile, milliseconds(40));
   CHECK_FALSE(profile.IsInteractive(kTight));
   CHECK_FALSE(profile.HasInteractive());
 }
 
-TEST_CASE("a service with one bound keeps nobody apart", "[placement]")
+TEST_CASE("a service with a single bound has no interactive requests",
+          "[placement]")
 {
   PauseProfile profile;
   for (int i = 0; i < 300; ++i) {
@@ -63,24 +65,25 @@
   CHECK_FALSE(profile.IsInteractive(kTight));
 }
 
-// A route with a bound of 10 ms is added for one caller. If it made all others
-// loose, the streams that were kept apart until then would be late.
-TEST_CASE("a bound that few requests have decides for nobody", "[placement]")
+// A route with a bound of 10 ms is added for one caller. If all other bounds
+// counted as loose from then on, streams separated until then would be late.
+TEST_CASE("a bound that few requests have is not the tightest", "[placement]")
 {
   PauseProfile profile;
-  PlayLoose(profile, milliseconds(180));
+  RecordLoose(profile, milliseconds(180));
   profile.OnRequest(milliseconds(10));
   CHECK(profile.IsInteractive(kTight));
 }
 
-TEST_CASE("reserved servers follow the interactive work", "[placement]")
+TEST_CASE("the number of reserved servers follows the interactive requests",
+          "[placement]")
 {
   ReservedServers servers;
   servers.Update(0, 96, 52, At(seconds(0)));
   CHECK(servers.Count() == 0);
   servers.Update(200, 96, 52, At(seconds(1)));
   CHECK(servers.Count() == 5);
-  // A burst is followed at once, a lull after a while.
+  // It rises at once with a burst and falls slowly in a lull.
   servers.Update(400, 96, 52, At(seconds(2)));
   CHECK(servers.Count() == 9);
   servers.Update(100, 96, 52, At(milliseconds(2200)));
@@ -89,7 +92,7 @@
   CHECK(servers.Count() == 3);
 }
 
-TEST_CASE("at most a quarter of the servers is reserved", "[placement]")
+TEST_CASE("at most a quarter of the servers are reserved", "[placement]")
 {
   REQUIRE(rc::check([] {
     const auto servers = *rc::gen::inRange<std::size_t>(0, 400);
@@ -101,7 +104,7 @@
   }));
 }
 
-TEST_CASE("long prompts and interactive requests have servers of their own",
+TEST_CASE("long prompts and interactive requests use separate servers",
           "[placement]")
 {
   DirectDemand interactive;
@@ -116,21 +119,23 @@
   servers[1].work.PrefillAt(0) = 50'000;
   CHECK(Chosen(servers, interactive) == "kept");
   CHECK(Chosen(servers, longDemand) == "reads");
-  // More interactive ones than the reserved servers take go on elsewhere.
+  // Interactive requests beyond the capacity of the reserved servers use the
+  // others.
   servers[0].work.requests = 10;
   servers[1].work.PrefillAt(0) = 0;
   CHECK(Chosen(servers, interactive) == "reads");
-  // All that are meant for long prompts are taken out.
+  // All servers for long prompts are ejected.
   servers[1].standing = Standing::Ejected;
   CHECK(Chosen(servers, longDemand) == "kept");
-  // With no other server left a long prompt is not refused for the order.
+  // If only reserved servers are left, a long prompt uses them.
   servers.pop_back();
   CHECK(Chosen(servers, longDemand) == "kept");
 }
 
-// Long prompts fill the queues of the last rank; one of the first rank is read
-// before them. It would be refused or sent past the holder of its shared part.
-TEST_CASE("reading of a later rank is not ahead of a request", "[placement]")
+// Long prompts of the last rank fill the queues; a prompt of an earlier rank is
+// prefilled before them. If they counted as ahead of it, it would be refused or
+// sent to a server without its shared part.
+TEST_CASE("prefill of a later rank is not ahead of a request", "[placement]")
 {
   BackendWork work;
   work.PrefillAt(0) = 10;
@@ -152,14 +157,13 @@
   CHECK(Chosen(servers, urgent) == "empty");
 }
 
-// Ten gateways get requests with the same new part within one digest's way.
-// Each would choose a server that looks idle, and the part would be read ten
-// times.
-TEST_CASE("gateways that know nothing of each other read a new part once",
+// Ten gateways get requests with the same new part before a digest arrives. If
+// each chose a server that looks idle, the part would be prefilled ten times.
+TEST_CASE("gateways without reports of each other prefill a new part once",
           "[placement]")
 {
   const std::vector<PromptPart> parts{ { 77, 6000 }, { 1, 500 } };
-  std::set<std::string> readers;
+  std::set<std::string> chosenServers;
   for (std::uint64_t gateway = 0; gateway < 10; ++gateway) {
     auto loop = *EventLoop::Create();
     BackendPool pool(*loop, {});
@@ -184,15 +188,15 @@
     const auto chosen = DirectChooser::Create("expected_delay")
                           ->Choose(candidates, demand, random);
     REQUIRE(chosen.has_value());
-    readers.insert(candidates[*chosen].name.Value());
+    chosenServers.insert(candidates[*chosen].name.Value());
   }
-  CHECK(readers.size() == 1);
+  CHECK(chosenServers.size() == 1);
 }
 
-// One gateway of four hears only one other. If it counted just what these two
-// have under way it would reserve half of what the others do, and send long
-// prompts to servers where they keep interactive requests.
-TEST_CASE("a gateway that hears few others reserves as much as they do",
+// One gateway of four receives digests of only one other. If it counted only
+// the requests of these two it would reserve half as many servers as the others
+// do and send long prompts to servers that they reserve.
+TEST_CASE("a gateway that hears from few others reserves as many servers",
           "[placement]")
 {
   auto loop = *EventLoop::Create();
@@ -219,10 +223,12 @@
   CHECK(pool.ReservedCount() == 4);
 }
 
-// Notes get nothing for two seconds while scans of over twice their size begin:
-// reserved servers are full of notes, and one with free turns looks worse for
-// the scans that wait there, which a note passes.
-TEST_CASE("an urgent request passes later ones that wait at a full server",
+// Guards against starvation of urgent short requests (notes), of which none
+// begins for two seconds while scans, of over twice their size and a later
+// rank, do: the reserved servers are full of notes, and a server that serves
+// few notes looks worse because of the scans that wait there, although a note
+// overtakes them.
+TEST_CASE("an urgent request overtakes later ones that wait at a full server",
           "[placement]")
 {
   const auto full = [](const std::string& aName, std::uint32_t aUrgent) {
@@ -241,12 +247,12 @@
   const std::vector<DirectCandidate> servers{ full("notes", 40),
                                               full("scans", 10) };
   CHECK(Chosen(servers, note) == "scans");
-  // A scan waits behind all of them, wherever it goes.
+  // A scan waits behind all of them at either server.
   DirectDemand scan = note;
   scan.rank = scan.turnRank = 1;
   CHECK(DirectCost(servers[0], scan, 0) == DirectCost(servers[1], scan, 0));
-  // What an older gateway tells without ranks may be ahead of anything.
-  DirectCandidate untold = servers[1];
-  untold.work.requestsByRank = {};
-  CHECK(DirectCost(untold, note, 0) > DirectCost(servers[0], note, 0));
+  // Requests that an older gateway reports without ranks count as ahead.
+  DirectCandidate unranked = servers[1];
+  unranked.work.requestsByRank = {};
+  CHECK(DirectCost(unranked, note, 0) > DirectCost(servers[0], note, 0));
 }
--- a/test/PlacementUnderLoad.cpp
+++ b/test/PlacementUnderLoad.cpp
@@ -1,11 +1,11 @@
 #include <catch2/catch.hpp>
 
-#include "support/LoadPlay.h"
+#include "support/LoadSimulation.h"
 
 using namespace dogwoodvale;
 using test::Fleet;
-using test::Kind;
-using test::LoadPlay;
+using test::LoadSimulation;
+using test::RequestKind;
 using test::Tally;
 
 namespace {
@@ -24,9 +24,9 @@
   return fleet;
 }
 
-/// Engines that read 110 tokens in a millisecond, in large pieces.
+/// Engines that prefill 110 tokens per millisecond, in large chunks.
 Fleet
-FastReaders()
+FastPrefillEngines()
 {
   Fleet fleet;
   fleet.engines = 18;
@@ -42,119 +42,128 @@
 
 } // namespace
 
-// Tellers' notes come nearly three times as often as a moment ago, beside
-// scans. The notes keep to the few engines that read no scans and queue there
-// for a slot, each turn some 50 ms, while engines that read scans have slots
-// free: a third to a half of the notes begin late though the fleet is not full.
+// The rate of short requests nearly triples beside long prompts. They all go to
+// the few engines without long prompts and queue there, some 50 ms per
+// position, while engines with long prompts have free slots: a third to a half
+// of the short requests begin late though the fleet is not full.
 TEST_CASE("a burst of short requests does not queue beside free slots",
           "[placement]")
 {
   const std::uint64_t seed = GENERATE(1U, 2U, 3U);
-  LoadPlay play(FewSlowEngines(),
-                {},
-                { Kind{ 18, 6300, 2890, 51, 300, kLongTarget },
-                  Kind{ 40, 200, 630, 291, 300, kShortTarget } },
-                seed);
-  play.Run(seconds(15));
-  play.SetRate(1, 110);
-  const std::vector<Tally> got = play.Run(seconds(6));
-  INFO("seed " << seed << ", on time: short " << got[1].Share() << ", long "
-               << got[0].Share());
-  CHECK(got[1].Share() > 0.7);
+  LoadSimulation simulation(
+    FewSlowEngines(),
+    {},
+    { RequestKind{ 18, 6300, 2890, 51, 300, kLongTarget },
+      RequestKind{ 40, 200, 630, 291, 300, kShortTarget } },
+    seed);
+  simulation.Run(seconds(15));
+  simulation.SetRate(1, 110);
+  const std::vector<Tally> got = simulation.Run(seconds(6));
+  INFO("seed " << seed << ", on time: short " << got[1].OnTimeShare()
+               << ", long " << got[0].OnTimeShare());
+  CHECK(got[1].OnTimeShare() > 0.7);
 }
 
-// Cues run beside digests of 17,000 tokens. An engine that reads one after the
-// other puts a piece of reading into each step, so a cue's events come 150 ms
-// and more apart and one cue in seven passes its bound of 200 ms somewhere,
-// though a tenth of the engines could generate all of them: on time 0.85 mixed,
-// 0.99 apart.
-TEST_CASE("short answers have no pauses beside long reading", "[placement]")
+// Short answers (cues) run beside prompts of 17,000 tokens (digests). An engine
+// that prefills one digest after the other adds a chunk of prefill to each
+// step, so a cue's events come 150 ms and more apart and one cue in seven
+// exceeds its bound of 200 ms, though a tenth of the engines could generate all
+// of them: 0.85 are on time on shared servers, 0.99 on reserved ones.
+TEST_CASE("short answers have no pauses beside long prefill", "[placement]")
 {
   const std::uint64_t seed = GENERATE(1U, 2U, 3U);
-  const auto playWith = [seed](bool aReserved) {
+  const auto runWith = [seed](bool aReserved) {
     GatewayDecisions decisions;
     decisions.reservedServers = aReserved;
-    // Alone, so that what is measured is the reservation.
+    // Off, to measure the effect of the reservation alone.
     decisions.rankedTurns = false;
-    Kind digest{
+    RequestKind digest{
       150, 13'300, 3720, 120, 400, seconds(1), milliseconds(800), 5
     };
-    Kind cue{
+    RequestKind cue{
       60, 350, 1110, 170, 280, milliseconds(250), milliseconds(200), 0
     };
-    LoadPlay play(FastReaders(), decisions, { digest, cue }, seed);
-    play.Run(seconds(6));
-    return play.Run(seconds(10));
+    LoadSimulation simulation(
+      FastPrefillEngines(), decisions, { digest, cue }, seed);
+    simulation.Run(seconds(6));
+    return simulation.Run(seconds(10));
   };
-  const std::vector<Tally> mixed = playWith(false);
-  const std::vector<Tally> apart = playWith(true);
-  INFO("seed " << seed << ", on time beside long reading: cues "
-               << mixed[1].Share() << ", digests " << mixed[0].Share()
-               << "; apart: " << apart[1].Share() << ", " << apart[0].Share());
-  CHECK(mixed[1].Share() < 0.9);
-  CHECK(apart[1].Share() > 0.97);
-  CHECK(apart[0].Share() > mixed[0].Share() - 0.03);
+  const std::vector<Tally> shared = runWith(false);
+  const std::vector<Tally> reserved = runWith(true);
+  INFO("seed " << seed << ", on time on shared servers: cues "
+               << shared[1].OnTimeShare() << ", digests "
+               << shared[0].OnTimeShare()
+               << "; reserved: " << reserved[1].OnTimeShare() << ", "
+               << reserved[0].OnTimeShare());
+  CHECK(shared[1].OnTimeShare() < 0.9);
+  CHECK(reserved[1].OnTimeShare() > 0.97);
+  CHECK(reserved[0].OnTimeShare() > shared[0].OnTimeShare() - 0.03);
 }
 
 namespace {
 
-/// Scans of 200 subjects that come in a rush, of which each engine keeps a
-/// dozen, beside notes that go first.
-/// \return what the scans' callers got.
+/// An overload of long prompts (scans) with 200 shared parts, of which each
+/// engine caches a dozen, beside short requests (notes) of an earlier rank.
+/// \return the results of the scans.
 Tally
-PlayRush(GatewayDecisions aDecisions, double aScans, std::uint64_t aSeed)
+RunOverload(GatewayDecisions aDecisions,
+            double aScansPerSecond,
+            std::uint64_t aSeed)
 {
   Fleet fleet = FewSlowEngines();
   fleet.engines = 24;
   fleet.engine.slots = 16;
   fleet.gateways = 12;
   fleet.cacheTokens = 120'000;
-  Kind scan{ 40, 6300, 2890, 51, 200, kLongTarget };
+  RequestKind scan{ 40, 6300, 2890, 51, 200, kLongTarget };
   scan.rank = test::kRankCount - 1;
-  LoadPlay play(fleet,
-                aDecisions,
-                { scan, Kind{ 40, 200, 630, 291, 300, kShortTarget } },
-                aSeed);
-  play.Run(seconds(6));
-  play.SetRate(0, aScans);
-  return play.Run(seconds(8))[0];
+  LoadSimulation simulation(
+    fleet,
+    aDecisions,
+    { scan, RequestKind{ 40, 200, 630, 291, 300, kShortTarget } },
+    aSeed);
+  simulation.Run(seconds(6));
+  simulation.SetRate(0, aScansPerSecond);
+  return simulation.Run(seconds(8))[0];
 }
 
 } // namespace
 
-// Scans come three times as often as a moment ago. Caches keep a dozen of 200
-// shared parts, so a part is seldom where there is room; each engine that reads
-// it again keeps others waiting, and half of the scans are late that could be
-// in time: 0.49 on time with every part read again, 0.59 with copies.
-TEST_CASE("in a rush shared parts are copied, not read again", "[placement]")
+// The rate of scans triples. Caches hold a dozen of 200 shared parts, so a part
+// is seldom cached where there is capacity; each engine that prefills it again
+// delays other requests, and half of the scans miss their target: 0.49 are on
+// time without copies, 0.59 with.
+TEST_CASE("in an overload shared parts are copied, not prefilled again",
+          "[placement]")
 {
   const std::uint64_t seed = GENERATE(1U, 2U, 3U);
-  const auto playWith = [seed](bool aCopies) {
+  const auto runWith = [seed](bool aCopies) {
     GatewayDecisions decisions;
     decisions.cacheFetch = aCopies;
-    return PlayRush(decisions, 140, seed).Share();
+    return RunOverload(decisions, 140, seed).OnTimeShare();
   };
-  const double readAgain = playWith(false);
-  const double copied = playWith(true);
-  INFO("seed " << seed << ", scans on time: read again " << readAgain
+  const double prefilledAgain = runWith(false);
+  const double copied = runWith(true);
+  INFO("seed " << seed << ", scans on time: prefilled again " << prefilledAgain
                << ", copied " << copied);
-  CHECK(copied > readAgain + 0.05);
+  CHECK(copied > prefilledAgain + 0.05);
 }
 
-// More scans come than the engines can read. Served in order, each waits for
-// those that are late already and is late by the same time: 0.28 on time. With
-// the late ones behind the others 0.37 are, and the late ones are read with
-// what is left.
-TEST_CASE("in a rush those that are late let the others pass", "[placement]")
+// More scans arrive than the engines can prefill. Served in order of arrival,
+// each waits for those that are late already and is late by the same time: 0.28
+// are on time. If the others overtake the late ones 0.37 are, and the late ones
+// get the remaining capacity.
+TEST_CASE("in an overload late prompts are overtaken by the others",
+          "[placement]")
 {
   const std::uint64_t seed = GENERATE(1U, 2U, 3U);
-  const auto playWith = [seed](bool aLateLast) {
+  const auto runWith = [seed](bool aLateLast) {
     GatewayDecisions decisions;
     decisions.lateLast = aLateLast;
-    return PlayRush(decisions, 180, seed).Share();
+    return RunOverload(decisions, 180, seed).OnTimeShare();
   };
-  const double inOrder = playWith(false);
-  const double lateLast = playWith(true);
+  const double inOrder = runWith(false);
+  const double lateLast = runWith(true);
   INFO("seed " << seed << ", scans on time: in order " << inOrder
                << ", late ones last " << lateLast);
   CHECK(lateLast > inOrder + 0.08);
--- a/test/Placer.cpp
+++ b/test/Placer.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr std::uint32_t kPlaces = BackendWork::kRanks;
+constexpr std::uint32_t kPriorities = BackendWork::kRanks;
 constexpr Duration kTarget = milliseconds(600);
 
 DirectCandidate
@@ -31,16 +31,16 @@
   return demand;
 }
 
-/// Reads 20 tokens in a millisecond at every server.
+/// A measured speed of 20 tokens per millisecond at every server.
 PrefillFlow
-MeasuredFlow()
+MeasuredStatistics()
 {
-  PrefillFlow flow;
+  PrefillFlow statistics;
   for (int i = 0; i < 20; ++i) {
-    flow.OnRequest(9000);
-    flow.OnFirstToken(InstanceName("any"), 9000, milliseconds(450));
+    statistics.OnRequest(9000);
+    statistics.OnFirstToken(InstanceName("any"), 9000, milliseconds(450));
   }
-  return flow;
+  return statistics;
 }
 
 std::string
@@ -59,7 +59,7 @@
 {
   std::mt19937_64 random(1);
   Placer placer(DirectChooser::Create("expected_delay"), aOptions);
-  return placer.Place(aCandidates, aRequest, MeasuredFlow(), random);
+  return placer.Place(aCandidates, aRequest, MeasuredStatistics(), random);
 }
 
 PlacementRequest
@@ -72,7 +72,7 @@
 
 } // namespace
 
-TEST_CASE("what a server lacks is copied from one that holds most of it",
+TEST_CASE("missing parts are copied from the server that holds most of them",
           "[fetch]")
 {
   std::vector<DirectCandidate> servers{ Server("chosen", 500),
@@ -86,17 +86,17 @@
   CHECK(source->tokens == 5800);
   CHECK_FALSE(
     CacheFetchPolicy::Create(false)->SourceFor(servers, 0, random).has_value());
-  // One that is taken out may not answer.
+  // An ejected server may not answer.
   servers[2].standing = Standing::Ejected;
   CHECK(SourceOf(servers) == "some");
-  // A transfer takes longer than reading so little.
+  // A transfer takes longer than the prefill of so few tokens.
   servers[1].cachedTokens = 600;
   CHECK(SourceOf(servers).empty());
 }
 
-// All copies of a part that becomes popular come from one server: they queue on
-// its link, and each prompt waits for those before it.
-TEST_CASE("copies come from near, and not all from one holder", "[fetch]")
+// If all copies of a popular part came from one server, they would queue on its
+// link, and each prompt would wait for the copies before it.
+TEST_CASE("copies come from several holders in the same data centre", "[fetch]")
 {
   std::vector<DirectCandidate> servers{ Server("chosen", 0),
                                         Server("near-1", 6000),
@@ -112,10 +112,11 @@
   CHECK(sources.size() == 2);
 }
 
-TEST_CASE("what is copied counts as read for those behind it", "[fetch]")
+TEST_CASE("copied tokens do not count as prefill for the requests behind",
+          "[fetch]")
 {
   const DirectDemand demand = LongDemand();
-  // The holder is far behind.
+  // The server that holds the part has a long queue.
   std::vector<DirectCandidate> servers{ Server("empty", 0),
                                         Server("holds", 6000) };
   servers[1].work.PrefillAt(0) = 500'000;
@@ -131,9 +132,9 @@
   CHECK(alone->work.Prefill() == 9000);
 }
 
-// In a burst a queue forms in the first second. Served in order, each prompt is
-// late by the same wait, though there is time to read half of them in time.
-TEST_CASE("a prompt that will be late lets the others pass", "[late]")
+// In a burst a queue forms in the first second. Served in order of arrival,
+// each prompt is late by the same wait, though half of them could be in time.
+TEST_CASE("a prompt that will be late is overtaken by the others", "[late]")
 {
   const DirectDemand demand = LongDemand();
   std::vector<DirectCandidate> servers{ Server("e", 0) };
@@ -146,7 +147,7 @@
   CHECK(late->timeliness == Timeliness::Late);
   CHECK(late->place == 5);
   CHECK(late->work.prefillTokens[5] == 9000);
-  // What is late itself is not ahead of those that can be in time.
+  // Late prompts are not ahead of those that can be in time.
   servers[0].work = {};
   servers[0].work.PrefillAt(5) = 30'000;
   CHECK(Placed(servers, Request(demand))->timeliness == Timeliness::InTime);
@@ -154,16 +155,16 @@
   const auto hopeless = Placed(servers, Request(demand));
   CHECK(hopeless->timeliness == Timeliness::Hopeless);
   CHECK(hopeless->wait > 3 * kTarget);
-  // What was sent before is not refused any more.
+  // A retry is not refused.
   PlacementRequest again = Request(demand);
   again.isFirst = false;
   CHECK(Placed(servers, again)->timeliness == Timeliness::Late);
-  // An answer that has begun would pause for as long as it lets others pass.
+  // An answer that has begun would pause while others overtake it.
   again.hasBegun = true;
   CHECK(Placed(servers, again)->place == 4);
 }
 
-TEST_CASE("with no order by lateness a prompt is refused sooner", "[late]")
+TEST_CASE("a prompt is refused sooner if late ones are not overtaken", "[late]")
 {
   const DirectDemand demand = LongDemand();
   std::vector<DirectCandidate> servers{ Server("e", 0) };
@@ -186,22 +187,22 @@
   CHECK_FALSE(Placed({}, Request(demand)).has_value());
 }
 
-// A late prompt of an urgent rank would be put behind what is less urgent, and
-// stopped for it where memory runs out.
-TEST_CASE("who lets others pass stays ahead of every later rank", "[late]")
+// Otherwise a late prompt of an urgent rank would wait behind less urgent ones
+// and be preempted for them when memory runs out.
+TEST_CASE("a late prompt stays ahead of every later rank", "[late]")
 {
   CHECK(rc::check([] {
-    const auto ranks = *rc::gen::inRange<std::uint32_t>(1, 2 * kPlaces);
+    const auto ranks = *rc::gen::inRange<std::uint32_t>(1, 2 * kPriorities);
     for (std::uint32_t rank = 0; rank < ranks; ++rank) {
-      const OrderPlaces places = PlacesOf(rank, ranks);
-      RC_ASSERT(places.inTime <= places.late);
-      RC_ASSERT(places.late < kPlaces);
-      if (rank + 1 < ranks && ranks <= kPlaces) {
-        RC_ASSERT(places.late < PlacesOf(rank + 1, ranks).inTime);
+      const OrderPlaces levels = PlacesOf(rank, ranks);
+      RC_ASSERT(levels.inTime <= levels.late);
+      RC_ASSERT(levels.late < kPriorities);
+      if (rank + 1 < ranks && ranks <= kPriorities) {
+        RC_ASSERT(levels.late < PlacesOf(rank + 1, ranks).inTime);
       }
     }
-    // The last ranks have two places as far as there are places.
+    // The last ranks have two priorities as far as there are enough.
     const OrderPlaces last = PlacesOf(ranks - 1, ranks);
-    RC_ASSERT((ranks < kPlaces) == (last.inTime < last.late));
+    RC_ASSERT((ranks < kPriorities) == (last.inTime < last.late));
   }));
 }
--- a/test/Quarantine.cpp
+++ b/test/Quarantine.cpp
@@ -16,7 +16,8 @@
 
 } // namespace
 
-TEST_CASE("a request's fingerprint is that of its content", "[quarantine]")
+TEST_CASE("a request's fingerprint depends on its content and the secret",
+          "[quarantine]")
 {
   const RequestFingerprint known = FingerprintOf(Content(), kSecret);
   CHECK(FingerprintOf(Content(), kSecret) == known);
--- a/test/support/Choosing.h
+++ b/test/support/Choosing.h
@@ -8,7 +8,7 @@
 
 namespace dogwoodvale::test {
 
-/// \return the name of the server that a gateway would choose; empty if none.
+/// \return the name of the server that "expected_delay" chooses; empty if none.
 inline std::string
 Chosen(const std::vector<DirectCandidate>& aCandidates,
        const DirectDemand& aDemand)
--- a/test/support/LoadPlay.h
+++ b/test/support/LoadSimulation.h
@@ -1,5 +1,5 @@
-#ifndef DOGWOODVALE_TEST_SUPPORT_LOADPLAY_H
-#define DOGWOODVALE_TEST_SUPPORT_LOADPLAY_H
+#ifndef DOGWOODVALE_TEST_SUPPORT_LOADSIMULATION_H
+#define DOGWOODVALE_TEST_SUPPORT_LOADSIMULATION_H
 
 #include <catch2/catch.hpp>
 
@@ -13,68 +13,74 @@
 
 using model::EngineModel;
 
-/// As often as a gateway tends its servers.
-inline constexpr Duration kTendPeriod = milliseconds(200);
-/// Ranks of the service, see Kind::rank.
+/// Period in which a gateway updates the state of its servers.
+inline constexpr Duration kUpdatePeriod = milliseconds(200);
+/// Number of ranks of the service, see RequestKind::rank.
 inline constexpr std::uint32_t kRankCount = 6;
-/// Tokens that are copied in the time in which one is read.
+/// Tokens that are copied in the time in which one is prefilled.
 inline constexpr std::uint32_t kCopySpeed = 10;
 
-/// One kind of request of the load.
-struct Kind
+/// Requests of one kind in the load.
+struct RequestKind
 {
+  /// Mean arrivals per second, of a Poisson process.
   double perSecond = 0;
+  /// Prompt tokens of the shared part.
   std::uint32_t sharedTokens = 0;
+  /// Prompt tokens that only this request has.
   std::uint32_t ownTokens = 0;
   std::uint32_t answerTokens = 0;
-  /// How many shared parts there are; each request has one of them.
-  std::uint32_t subjects = 1;
+  /// Number of different shared parts; each request has one of them.
+  std::uint32_t sharedParts = 1;
+  /// Longest time to the first token with which an answer is on time.
   Duration target{ 0 };
   /// Longest pause between events with which an answer is on time.
-  Duration pause = seconds(60);
+  Duration maxPause = seconds(60);
   std::uint32_t rank = 0;
-  /// A caller leaves when so long after its request no answer has begun.
-  Duration patience = std::chrono::hours(1);
+  /// A caller disconnects if no answer has begun within this time.
+  Duration callerTimeout = std::chrono::hours(1);
 };
 
-/// The engines of a play.
+/// The simulated engines and gateways.
 struct Fleet
 {
   std::uint32_t engines = 12;
   EngineModel::Options engine;
-  /// An event of a stream holds so many tokens.
+  /// Tokens per event of a stream.
   std::uint32_t tokensPerEvent = 3;
   std::uint32_t gateways = 1;
-  /// Tokens that an engine keeps of what it has read; 0 for all.
+  /// Capacity of an engine's prefix cache in tokens; 0 for unlimited.
   std::uint64_t cacheTokens = 0;
-  /// From one digest of a gateway's work to the next.
+  /// Period in which a gateway reports its work to the others.
   Duration digestPeriod = milliseconds(150);
 };
 
-/// What the callers of one kind got.
+/// Results of the requests of one kind.
 struct Tally
 {
   int asked = 0;
+  /// First token within the target, and no longer pause than maxPause since.
   int onTime = 0;
+  /// Answers of which the first token has come.
   int begun = 0;
-  /// Callers that left with nothing.
+  /// Callers that disconnected before their answer had begun.
   int lost = 0;
 
-  double Share() const { return static_cast<double>(onTime) / asked; }
+  double OnTimeShare() const { return static_cast<double>(onTime) / asked; }
 };
 
-/// Plays a load against modelled engines, placed as a gateway places it.
+/// Simulates a load on model engines, with requests placed as by gateways.
 ///
-/// Engines keep the parts that they have read as far as their caches go, and
-/// copy them from each other where they are told to. Time is simulated; a
-/// gateway knows its own work at once and that of others by their digests.
-class LoadPlay
+/// Engines cache prefilled parts within their capacity and copy parts from each
+/// other if the placement says so. Time is simulated; a gateway knows its own
+/// work at once and that of the others from their periodic digests.
+class LoadSimulation
 {
 public:
-  LoadPlay(Fleet aFleet,
-           GatewayDecisions aDecisions,
-           std::vector<Kind> aKinds,
-           std::uint64_t aSeed)
+  LoadSimulation(Fleet aFleet,
+                 GatewayDecisions aDecisions,
+                 std::vector<RequestKind> aKinds,
+                 std::uint64_t aSeed)
     : fleet(std::move(aFleet))
     , placer(DirectChooser::Create("expected_delay"),
              { .fetchesCaches = aDecisions.cacheFetch,
@@ -108,37 +114,38 @@
     }
   }
 
-  /// Requests of this kind come so often from now on.
+  /// Changes the arrival rate of a kind from now on.
   void SetRate(std::size_t aKind, double aPerSecond)
   {
     this->kinds[aKind].perSecond = aPerSecond;
   }
 
-  /// \return for each kind, what its callers got in this time.
+  /// Runs for \p aLength.
+  /// \return for each kind the results of the requests that arrived in it.
   std::vector<Tally> Run(Duration aLength)
   {
     this->tallies.assign(this->kinds.size(), Tally{});
-    this->countedSince = this->now;
+    this->countingSince = this->now;
     return this->Continue(aLength);
   }
 
-  /// As Run(), counting on.
+  /// As Run(), but adds to the results so far.
   std::vector<Tally> Continue(Duration aLength)
   {
     const TimePoint end = this->now + aLength;
     std::vector<TimePoint> next;
-    for (const Kind& kind : this->kinds) {
-      next.push_back(this->now + this->Pause(kind));
+    for (const RequestKind& kind : this->kinds) {
+      next.push_back(this->now + this->DrawInterarrivalTime(kind));
     }
     while (this->now < end) {
       const auto kind =
         static_cast<std::size_t>(std::ranges::min_element(next) - next.begin());
       this->StepEnginesUntil(next[kind]);
-      this->LeaveUntil(next[kind]);
-      this->TendGateways();
+      this->DisconnectUntil(next[kind]);
+      this->UpdateGateways();
       this->now = next[kind];
       this->Arrive(kind);
-      next[kind] += this->Pause(this->kinds[kind]);
+      next[kind] += this->DrawInterarrivalTime(this->kinds[kind]);
     }
     return this->tallies;
   }
@@ -154,7 +161,7 @@
   {
     InstanceName name;
     std::unique_ptr<BackendPool> pool;
-    /// Not told to the others yet.
+    /// Requests not reported to the other gateways yet.
     std::vector<Sent> sent;
   };
   struct Running
@@ -166,7 +173,7 @@
     BackendWork work;
     std::uint64_t ahead = 0;
     std::uint64_t prefill = 0;
-    bool hasFirst = false;
+    bool hasFirstToken = false;
     std::uint32_t tokens = 0;
     TimePoint lastEvent{};
     Duration longestPause{ 0 };
@@ -176,52 +183,53 @@
   {
     InstanceName name;
     EngineModel model;
-    /// When its step under way ends; none while it is idle.
+    /// End of its current step; nothing while it is idle.
     std::optional<TimePoint> stepEnds;
   };
 
-  Duration Pause(const Kind& aKind)
+  Duration DrawInterarrivalTime(const RequestKind& aKind)
   {
     std::exponential_distribution<double> draw(aKind.perSecond / 1e6);
     return Duration(static_cast<Duration::rep>(draw(this->random)));
   }
 
-  void TendGateways()
+  void UpdateGateways()
   {
-    if (this->now >= this->tendAt) {
+    if (this->now >= this->nextUpdate) {
       for (const Gateway& gateway : this->gateways) {
         gateway.pool->Tend(this->now);
       }
-      this->tendAt = this->now + kTendPeriod;
+      this->nextUpdate = this->now + kUpdatePeriod;
     }
-    if (this->now >= this->digestAt) {
+    if (this->now >= this->nextDigest) {
       for (Gateway& gateway : this->gateways) {
-        this->Tell(gateway);
+        this->SendDigest(gateway);
       }
-      this->digestAt = this->now + this->fleet.digestPeriod;
+      this->nextDigest = this->now + this->fleet.digestPeriod;
     }
   }
 
-  void Tell(Gateway& aTeller)
+  void SendDigest(Gateway& aSender)
   {
-    const std::vector<WorkLine> lines = aTeller.pool->Work().OwnLines();
+    const std::vector<WorkLine> lines = aSender.pool->Work().OwnLines();
     for (const Gateway& other : this->gateways) {
-      if (&other == &aTeller) {
+      if (&other == &aSender) {
         continue;
       }
-      other.pool->Work().SetPeer(aTeller.name, lines, this->now);
-      for (const Sent& sent : aTeller.sent) {
+      other.pool->Work().SetPeer(aSender.name, lines, this->now);
+      for (const Sent& sent : aSender.sent) {
         other.pool->OnRead(sent.engine, sent.steps);
         other.pool->OnLongPrompt(sent.engine, sent.longTokens, this->now);
       }
     }
-    aTeller.sent.clear();
+    aSender.sent.clear();
   }
 
   void Arrive(std::size_t aKind)
   {
-    const Kind& kind = this->kinds[aKind];
-    std::uniform_int_distribution<std::uint32_t> subject(0, kind.subjects - 1);
+    const RequestKind& kind = this->kinds[aKind];
+    std::uniform_int_distribution<std::uint32_t> subject(0,
+                                                         kind.sharedParts - 1);
     const std::vector<PromptPart> parts = {
       { aKind * 100'000 + subject(this->random), kind.sharedTokens },
       { 1'000'000 + this->lastId, kind.ownTokens }
@@ -247,12 +255,12 @@
     }
   }
 
-  /// As Admission makes it.
+  /// As Admission computes it.
   DirectDemand DemandOf(BackendPool& aPool,
-                        const Kind& aKind,
+                        const RequestKind& aKind,
                         std::span<const PromptPart> aParts)
   {
-    PrefillFlow& flow = aPool.FlowOf(this->service.name);
+    PrefillFlow& statistics = aPool.FlowOf(this->service.name);
     PauseProfile& pauses = aPool.PausesOf(this->service.name);
     const bool isReserving = aPool.Decisions().reservedServers;
     DirectDemand demand;
@@ -263,31 +271,32 @@
     if (aPool.Decisions().rankedTurns) {
       demand.turnRank = demand.rank;
     }
-    flow.OnRequest(demand.promptTokens);
-    pauses.OnRequest(aKind.pause);
-    demand.isInteractive = isReserving && pauses.IsInteractive(aKind.pause);
+    statistics.OnRequest(demand.promptTokens);
+    pauses.OnRequest(aKind.maxPause);
+    demand.isInteractive = isReserving && pauses.IsInteractive(aKind.maxPause);
     demand.isLong = isReserving && pauses.HasInteractive()
                       ? !demand.isInteractive
-                      : flow.IsLong(demand.promptTokens);
-    demand.tokensPerTarget = flow.TokensIn(aKind.target);
-    demand.tokensPerTurn = flow.TokensPerTurn(this->service.slots)
+                      : statistics.IsLong(demand.promptTokens);
+    demand.tokensPerTarget = statistics.TokensIn(aKind.target);
+    demand.tokensPerTurn = statistics.TokensPerTurn(this->service.slots)
                              .value_or(DirectDemand::kGuessedTokensPerTurn);
     return demand;
   }
 
-  /// Tokens that the engine reads, or has read in the time that it copies.
-  std::uint32_t TokensToRead(const Engine& aEngine,
-                             const DirectDemand& aDemand,
-                             const Placement& aPlacement) const
+  /// Tokens that the engine prefills, including those that it could prefill
+  /// during the copying.
+  std::uint32_t PrefillTokensOf(const Engine& aEngine,
+                                const DirectDemand& aDemand,
+                                const Placement& aPlacement) const
   {
-    const std::uint32_t held =
+    const std::uint32_t cached =
       this->caches.TokensHeld(aEngine.name, aDemand.steps);
     const std::uint32_t atSource =
       aPlacement.fetch
         ? this->caches.TokensHeld(aPlacement.fetch->instance, aDemand.steps)
         : 0;
-    const std::uint32_t copied = atSource - std::min(atSource, held);
-    return aDemand.promptTokens - held - copied + copied / kCopySpeed;
+    const std::uint32_t copied = atSource - std::min(atSource, cached);
+    return aDemand.promptTokens - cached - copied + copied / kCopySpeed;
   }
 
   void Send(std::size_t aKind,
@@ -297,8 +306,8 @@
             const Placement& aPlacement)
   {
     Engine& engine = *std::ranges::find(this->engines, aTo.name, &Engine::name);
-    const std::uint32_t toRead =
-      this->TokensToRead(engine, aDemand, aPlacement);
+    const std::uint32_t prefillTokens =
+      this->PrefillTokensOf(engine, aDemand, aPlacement);
     this->caches.OnUsed(engine.name, aDemand.steps, this->fleet.cacheTokens);
     Running running;
     running.pool = aGateway.pool.get();
@@ -315,7 +324,7 @@
     aGateway.sent.push_back({ aTo.name, aDemand.steps, longTokens });
     const RequestId id{ 0, ++this->lastId };
     engine.model.Start(id,
-                       toRead,
+                       prefillTokens,
                        this->kinds[aKind].answerTokens,
                        this->now,
                        static_cast<int>(aPlacement.place));
@@ -360,20 +369,21 @@
   {
     const std::uint64_t id = aSequence.id.sequence;
     Running& running = this->requests.at(id);
-    PrefillFlow& flow = running.pool->FlowOf(this->service.name);
-    if (!running.hasFirst) {
-      running.hasFirst = true;
+    PrefillFlow& statistics = running.pool->FlowOf(this->service.name);
+    if (!running.hasFirstToken) {
+      running.hasFirstToken = true;
       const Duration latency = Between(running.arrived, this->now);
       running.isOnTime = latency <= this->kinds[running.kind].target;
       this->Count(running, running.isOnTime ? 1 : 0);
       this->tallies[running.kind].begun +=
-        running.arrived >= this->countedSince ? 1 : 0;
+        running.arrived >= this->countingSince ? 1 : 0;
       running.lastEvent = this->now;
-      flow.OnFirstToken(aEngine.name, running.ahead + running.prefill, latency);
-      BackendWork read;
-      read.prefillTokens = running.work.prefillTokens;
-      running.pool->OnDone(aEngine.name, read);
-      running.work -= read;
+      statistics.OnFirstToken(
+        aEngine.name, running.ahead + running.prefill, latency);
+      BackendWork finishedPrefill;
+      finishedPrefill.prefillTokens = running.work.prefillTokens;
+      running.pool->OnDone(aEngine.name, finishedPrefill);
+      running.work -= finishedPrefill;
     }
     if (++running.tokens % this->fleet.tokensPerEvent == 0) {
       this->OnEvent(running);
@@ -385,39 +395,39 @@
     }
   }
 
-  /// Takes out the requests whose callers have left by then.
-  void LeaveUntil(TimePoint aTime)
+  /// Cancels the requests whose callers have disconnected by \p aTime.
+  void DisconnectUntil(TimePoint aTime)
   {
     for (auto& [kind, ids] : this->sentByKind) {
-      const Duration patience = this->kinds[kind].patience;
+      const Duration callerTimeout = this->kinds[kind].callerTimeout;
       while (!ids.empty()) {
         const auto found = this->requests.find(ids.front());
         if (found != this->requests.end() &&
-            Between(found->second.arrived, aTime) < patience) {
+            Between(found->second.arrived, aTime) < callerTimeout) {
           break;
         }
-        if (found != this->requests.end() && !found->second.hasFirst) {
-          this->Leave(found->first, found->second);
+        if (found != this->requests.end() && !found->second.hasFirstToken) {
+          this->Disconnect(found->first, found->second);
         }
         ids.pop_front();
       }
     }
   }
 
-  void Leave(std::uint64_t aId, const Running& aRunning)
+  void Disconnect(std::uint64_t aId, const Running& aRunning)
   {
     Engine& engine =
       *std::ranges::find(this->engines, aRunning.engine, &Engine::name);
     engine.model.Cancel({ 0, aId });
     aRunning.pool->OnDone(aRunning.engine, aRunning.work);
     this->tallies[aRunning.kind].lost +=
-      aRunning.arrived >= this->countedSince ? 1 : 0;
+      aRunning.arrived >= this->countingSince ? 1 : 0;
     this->requests.erase(aId);
   }
 
   void Count(const Running& aRunning, int aOnTime)
   {
-    if (aRunning.arrived >= this->countedSince) {
+    if (aRunning.arrived >= this->countingSince) {
       this->tallies[aRunning.kind].onTime += aOnTime;
     }
   }
@@ -428,7 +438,7 @@
       std::max(aRunning.longestPause, Between(aRunning.lastEvent, this->now));
     aRunning.lastEvent = this->now;
     if (aRunning.isOnTime &&
-        aRunning.longestPause > this->kinds[aRunning.kind].pause) {
+        aRunning.longestPause > this->kinds[aRunning.kind].maxPause) {
       aRunning.isOnTime = false;
       this->Count(aRunning, -1);
     }
@@ -439,7 +449,7 @@
     aRunning.pool->FlowOf(this->service.name)
       .OnStay(Between(aRunning.arrived, this->now));
     aRunning.pool->PausesOf(this->service.name)
-      .OnStream(this->kinds[aRunning.kind].pause, aRunning.longestPause);
+      .OnStream(this->kinds[aRunning.kind].maxPause, aRunning.longestPause);
   }
 
   std::unique_ptr<EventLoop> loop = *EventLoop::Create();
@@ -449,20 +459,20 @@
                          .maxConnections = 10'000,
                          .slots = 0 };
   Placer placer;
-  /// What the engines' caches hold in truth.
+  /// Actual content of the engines' caches.
   CacheBelief caches;
-  std::vector<Kind> kinds;
+  std::vector<RequestKind> kinds;
   std::vector<Tally> tallies;
   std::mt19937_64 random;
   std::vector<Engine> engines;
   std::map<std::uint64_t, Running> requests;
-  /// Sent requests of each kind, the oldest first.
+  /// Requests sent of each kind, the oldest first.
   std::map<std::size_t, std::deque<std::uint64_t>> sentByKind;
   std::uint64_t lastId = 0;
-  TimePoint countedSince{};
+  TimePoint countingSince{};
   TimePoint now = TimePoint() + std::chrono::hours(1);
-  TimePoint tendAt{};
-  TimePoint digestAt{};
+  TimePoint nextUpdate{};
+  TimePoint nextDigest{};
 };
 
 } // namespace dogwoodvale::test
