--- a/dogwoodvale/src/Gateway/Admission.cpp
+++ b/dogwoodvale/src/Gateway/Admission.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-/// The next version of the configuration is a second or less away.
-constexpr milliseconds kConfigurationSoon(500);
+/// Retry-After while a configuration is awaited; it arrives within a second.
+constexpr milliseconds kConfigurationRetryAfter(500);
 
 RequestError
 Refusal(ErrorCode aCode,
@@ -17,7 +17,8 @@
   return { aCode, Disposition::NotRun, aDetail, aRetryAfter };
 }
 
-/// What a prompt asks of a server, by what the service has seen so far.
+/// Describes the prompt for placement, relative to the prompts and gaps that
+/// the service has seen; also counts it among these.
 DirectDemand
 DemandOf(const AdmittedRequest& aRequest, BackendPool& aPool)
 {
@@ -26,12 +27,14 @@
   PauseProfile& pauses = aPool.PausesOf(service);
   const Duration bound = aRequest.route->targetGap;
   DirectDemand demand;
-  demand.promptTokens = aRequest.envelope.promptTokens;
-  demand.steps = StepsOf(aRequest.envelope.prompt, aRequest.envelope.model);
+  demand.promptTokens = aRequest.callerMetadata.promptTokens;
+  demand.steps =
+    StepsOf(aRequest.callerMetadata.prompt, aRequest.callerMetadata.model);
   demand.sharedTokens = SharedTokens(demand.steps);
   flow.OnRequest(demand.promptTokens);
   pauses.OnRequest(bound);
-  // With no ranks told apart all reading counts, as that of the last.
+  // Without ranked reading every request has the lowest rank, so the prefill
+  // tokens of all requests count as ahead of it.
   demand.rank = aPool.Decisions().rankedReading ? aRequest.places.inTime
                                                 : BackendWork::kRanks - 1;
   if (aPool.Decisions().rankedTurns) {
@@ -57,24 +60,24 @@
                              aError.code == ErrorCode::Unauthorized;
   return mayBeOutdated ? Refusal(ErrorCode::NotReady,
                                  "a newer configuration is on its way",
-                                 kConfigurationSoon)
+                                 kConfigurationRetryAfter)
                        : aError;
 }
 
 std::variant<AdmittedRequest, RequestError>
 AdmitRequest(const HttpRequest& aRequest,
-             CallerEnvelope aEnvelope,
+             CallerEnvelope aCallerMetadata,
              std::shared_ptr<const RouteTable> aRoutes,
              BackendPool& aPool,
              std::mt19937_64& aRandom)
 {
   if (aRoutes == nullptr) {
     return Refusal(
-      ErrorCode::NotReady, "no configuration yet", kConfigurationSoon);
+      ErrorCode::NotReady, "no configuration yet", kConfigurationRetryAfter);
   }
   AdmittedRequest admitted;
   admitted.routes = std::move(aRoutes);
-  admitted.envelope = std::move(aEnvelope);
+  admitted.callerMetadata = std::move(aCallerMetadata);
   admitted.route = admitted.routes->FindRoute(
     FindHeader(aRequest.headers, "host"), aRequest.path);
   if (admitted.route == nullptr) {
@@ -82,7 +85,7 @@
   }
   const KeyedCustomer* customer = nullptr;
   if (admitted.routes->NeedsKeys() && !admitted.route->isPublic) {
-    customer = admitted.routes->FindCustomer(admitted.envelope.key);
+    customer = admitted.routes->FindCustomer(admitted.callerMetadata.key);
     if (customer == nullptr) {
       return Refusal(ErrorCode::Unauthorized, "no such API key");
     }
@@ -93,8 +96,8 @@
   admitted.service = admitted.routes->FindService(service);
   if (admitted.service == nullptr) {
     return Refusal(ErrorCode::NoBackendServer,
-                   "the route's service is unknown",
-                   kConfigurationSoon);
+                   "the configuration lacks the route's service",
+                   kConfigurationRetryAfter);
   }
   admitted.rank = admitted.routes->RankOf(*admitted.route, customer, service);
   admitted.places =
--- a/dogwoodvale/src/Gateway/Admission.h
+++ b/dogwoodvale/src/Gateway/Admission.h
@@ -11,36 +11,37 @@
 
 namespace dogwoodvale {
 
-/// What a request is served by: fixed when it is accepted.
+/// A request with the configuration it is served under, fixed on acceptance.
 struct AdmittedRequest
 {
-  /// Keeps the routes alive under which the request was accepted.
+  /// The routes in force on acceptance; owns \p route and \p service.
   std::shared_ptr<const RouteTable> routes;
   const HostRoute* route = nullptr;
   const DirectService* service = nullptr;
   CustomerName customer;
-  /// Place in the order of service, see RouteTable::RankOf().
+  /// Priority rank, see RouteTable::RankOf().
   std::uint32_t rank = 0;
-  /// What the rank comes to at a backend server.
+  /// The priorities at a backend server that follow from the rank.
   OrderPlaces places;
-  CallerEnvelope envelope;
-  /// The same for each try of a caller at any gateway.
+  CallerEnvelope callerMetadata;
+  /// The same for every retry of the caller, at any gateway.
   RequestFingerprint fingerprint = 0;
   DirectDemand demand;
 };
 
 /// Finds the route, the customer and the service of a request.
-/// \param aRoutes the configuration in force; null while none is known. Nothing
-/// is then refused for good: what is unknown here may well be allowed.
+/// \param aRoutes the configuration in force; null while none is known. Every
+/// request is then refused as retryable, since it may well be allowed.
 std::variant<AdmittedRequest, RequestError>
 AdmitRequest(const HttpRequest& aRequest,
-             CallerEnvelope aEnvelope,
+             CallerEnvelope aCallerMetadata,
              std::shared_ptr<const RouteTable> aRoutes,
              BackendPool& aPool,
              std::mt19937_64& aRandom);
 
-/// What a gateway answers that knows of a newer configuration than its own: a
-/// route or a key that it lacks may be there by now.
+/// The error that a gateway returns in place of \p aError when it knows of a
+/// newer configuration than its own: an unknown route or key may be defined
+/// there, so these errors become retryable ones.
 RequestError
 RefusalWhileBehind(const RequestError& aError);
 
--- a/dogwoodvale/src/Gateway/AnswerStatus.cpp
+++ b/dogwoodvale/src/Gateway/AnswerStatus.cpp
@@ -13,10 +13,10 @@
 }
 
 bool
-IsPromise(int aStatus)
+ImpliesNotRun(int aStatus)
 {
-  constexpr std::array<int, 4> kPromises{ 408, 421, 429, 503 };
-  return std::ranges::find(kPromises, aStatus) != kPromises.end();
+  constexpr std::array<int, 4> kNotRunStatuses{ 408, 421, 429, 503 };
+  return std::ranges::find(kNotRunStatuses, aStatus) != kNotRunStatuses.end();
 }
 
 bool
--- a/dogwoodvale/src/Gateway/AnswerStatus.h
+++ b/dogwoodvale/src/Gateway/AnswerStatus.h
@@ -3,14 +3,14 @@
 
 namespace dogwoodvale {
 
-/// What the status of a backend server's answer says.
+/// Classification of HTTP statuses in answers of backend servers.
 
 bool
 IsServerError(int aStatus);
 
-/// Statuses that promise that a request has not run.
+/// Whether callers take the status to mean that the request has not run.
 bool
-IsPromise(int aStatus);
+ImpliesNotRun(int aStatus);
 
 bool
 IsSuccess(int aStatus);
--- a/dogwoodvale/src/Gateway/AttemptHealth.cpp
+++ b/dogwoodvale/src/Gateway/AttemptHealth.cpp
@@ -3,10 +3,10 @@
 namespace dogwoodvale {
 
 void
-AttemptHealth::OnFirstSign(Duration aLatency,
-                           std::uint32_t aPromptTokens,
-                           std::uint64_t aReadTokens,
-                           PrefillFlow& aFlow) const
+AttemptHealth::OnFirstResponse(Duration aLatency,
+                               std::uint32_t aPromptTokens,
+                               std::uint64_t aReadTokens,
+                               PrefillFlow& aFlow) const
 {
   const std::optional<Duration> sample =
     aPromptTokens == 0
@@ -26,7 +26,7 @@
 }
 
 void
-AttemptHealth::OnFailed(AttemptFailure aFailure, bool aHadRoom) const
+AttemptHealth::OnFailed(AttemptFailure aFailure, bool aHadFreeSlot) const
 {
   if (this->tracker == nullptr) {
     return;
@@ -35,10 +35,11 @@
     this->tracker->OnCrash(this->instance);
     return;
   }
-  // One that refuses though it has room is as sick as one that fails.
-  const bool isSick =
-    !IsNotRun(aFailure) || (aFailure == AttemptFailure::Refused && aHadRoom);
-  if (isSick) {
+  // Refusing despite a free slot counts as a failure.
+  const bool isUnhealthy =
+    !IsNotRun(aFailure) ||
+    (aFailure == AttemptFailure::Refused && aHadFreeSlot);
+  if (isUnhealthy) {
     this->tracker->OnFailure(this->instance);
   }
 }
--- a/dogwoodvale/src/Gateway/AttemptHealth.h
+++ b/dogwoodvale/src/Gateway/AttemptHealth.h
@@ -6,24 +6,24 @@
 
 namespace dogwoodvale {
 
-/// What an attempt says of its server's health.
+/// Reports the events of an attempt to the health tracker of its server.
 struct AttemptHealth
 {
-  /// Null for a server that is gone.
+  /// Null if the pool no longer has the server; nothing is reported then.
   HealthTracker* tracker = nullptr;
   InstanceName instance;
 
-  /// The first sign of an answer came.
-  /// \param aPromptTokens 0 where requests name no prompt.
-  /// \param aReadTokens what the server had to read until then.
-  void OnFirstSign(Duration aLatency,
-                   std::uint32_t aPromptTokens,
-                   std::uint64_t aReadTokens,
-                   PrefillFlow& aFlow) const;
-  /// It has served the request to its end.
+  /// The first part of an answer arrived.
+  /// \param aPromptTokens 0 if the request names no prompt.
+  /// \param aReadTokens prefill tokens of the server until then.
+  void OnFirstResponse(Duration aLatency,
+                       std::uint32_t aPromptTokens,
+                       std::uint64_t aReadTokens,
+                       PrefillFlow& aFlow) const;
+  /// The server has served the request to its end.
   void OnAnswered() const;
-  /// \param aHadRoom fewer requests than slots were there, as far as known.
-  void OnFailed(AttemptFailure aFailure, bool aHadRoom) const;
+  /// \param aHadFreeSlot the server had fewer known requests than slots.
+  void OnFailed(AttemptFailure aFailure, bool aHadFreeSlot) const;
 };
 
 } // namespace dogwoodvale
--- a/dogwoodvale/src/Gateway/AttemptPatience.cpp
+++ b/dogwoodvale/src/Gateway/AttemptPatience.cpp
@@ -6,14 +6,15 @@
 
 namespace {
 
-/// A first sign that takes this many times a route's target says that the
-/// server hangs: waiting longer would leave no time for another.
-constexpr int kFirstSignTargets = 3;
-/// A pause between events this many times the route's bound says the same.
+/// Multiple of the route's latency target without a response after which the
+/// server is taken to hang: waiting longer would leave no time for another.
+constexpr int kFirstResponseTargets = 3;
+/// The same for a pause between events, as a multiple of the route's target
+/// gap.
 constexpr int kGapTargets = 5;
-/// No verdict on silence before this, however short a target is: a lost packet
-/// alone costs a few hundred milliseconds.
-constexpr Duration kLeastPatience = milliseconds(900);
+/// Lower bound of the time-outs, however short the target: retransmitting one
+/// lost packet takes a few hundred milliseconds.
+constexpr Duration kMinTimeout = milliseconds(900);
 
 } // namespace
 
@@ -24,12 +25,12 @@
   if (!hasNext) {
     return {};
   }
-  AttemptPatience patience;
-  patience.firstSign = std::min(
-    std::max(kLeastPatience, kFirstSignTargets * aRoute.target), aLeft / 2);
-  patience.betweenEvents =
-    std::max(kLeastPatience, kGapTargets * aRoute.targetGap);
-  return patience;
+  AttemptPatience timeouts;
+  timeouts.firstResponse = std::min(
+    std::max(kMinTimeout, kFirstResponseTargets * aRoute.target), aLeft / 2);
+  timeouts.betweenEvents =
+    std::max(kMinTimeout, kGapTargets * aRoute.targetGap);
+  return timeouts;
 }
 
 } // namespace dogwoodvale
--- a/dogwoodvale/src/Gateway/AttemptPatience.h
+++ b/dogwoodvale/src/Gateway/AttemptPatience.h
@@ -7,21 +7,23 @@
 
 namespace dogwoodvale {
 
-/// How long an attempt waits for a sign of life; zero is for ever.
+/// How long an attempt waits for the server to send something; 0 is no limit.
 struct AttemptPatience
 {
-  Duration firstSign{ 0 };
+  /// From sending to the first event of a stream or the end of an answer.
+  Duration firstResponse{ 0 };
+  /// Between two events of a stream.
   Duration betweenEvents{ 0 };
 };
 
-/// Patience with a server that says nothing, by the route's targets.
+/// The time-outs of an attempt, derived from the route's latency targets.
 ///
-/// A server that hangs keeps its connections open, so only silence tells; a
-/// request that waits for its whole time limit has none left for another
-/// server. Where no other attempt may follow, giving up would gain nothing, so
-/// the last one waits for ever.
-/// \param aAttempts begun before this one.
-/// \param aLeft until the request's time limit.
+/// A server that hangs keeps its connections open and can be recognised only by
+/// its silence; a request that waits for its whole time limit has no time left
+/// for another server. An attempt that none may follow has no time-outs, since
+/// giving it up would gain nothing; the request's own deadline still applies.
+/// \param aAttempts attempts started before this one.
+/// \param aLeft time until the request's deadline.
 AttemptPatience
 PatienceFor(const HostRoute& aRoute, std::uint32_t aAttempts, Duration aLeft);
 
--- a/dogwoodvale/src/Gateway/BackendPool.cpp
+++ b/dogwoodvale/src/Gateway/BackendPool.cpp
@@ -7,9 +7,9 @@
 
 namespace {
 
-/// Shares of failed requests from which a server is taken out, and how long:
-/// a gateway sees one server's failures within a second or two, and one that
-/// has recovered should be of use again soon.
+/// Share of failed requests at which a server is ejected, and for how long. The
+/// times are short: a gateway notices the failures of a server within one or
+/// two seconds, and a recovered server should get work again soon.
 HealthSettings
 MakeHealthSettings()
 {
@@ -20,14 +20,15 @@
   return settings;
 }
 
-/// A service with fewer servers for each cell is not split: with so many,
-/// hashed names leave a cell seldom more than a third short of its part.
-constexpr std::size_t kLeastServersPerCell = 16;
+/// A service with fewer servers per cell is not split into cells. Servers are
+/// assigned to cells by a hash of their names; from this number on a cell
+/// rarely has less than two thirds of its even share.
+constexpr std::size_t kMinServersPerCell = 16;
 
-/// The part that other requests share with this one, if any: the last one
-/// belongs to the request itself.
+/// The longest prompt prefix that other requests may share with this one, if
+/// any: the last step belongs to the request alone.
 std::optional<PrefixHash>
-SharedPart(const DirectDemand& aDemand)
+SharedPrefix(const DirectDemand& aDemand)
 {
   if (aDemand.steps.size() < 2) {
     return std::nullopt;
@@ -35,18 +36,20 @@
   return aDemand.steps[aDemand.steps.size() - 2].hash;
 }
 
+/// Marks the home server of the shared prefix: the candidate in service, of the
+/// kind (reserved or not) that suits the request, with the highest HomeScore().
 void
 MarkHome(std::vector<DirectCandidate>& aCandidates, const DirectDemand& aDemand)
 {
-  const std::optional<PrefixHash> part = SharedPart(aDemand);
+  const std::optional<PrefixHash> prefix = SharedPrefix(aDemand);
   DirectCandidate* home = nullptr;
   std::uint64_t best = 0;
   for (DirectCandidate& candidate : aCandidates) {
-    if (!part || candidate.isReserved != aDemand.isInteractive ||
+    if (!prefix || candidate.isReserved != aDemand.isInteractive ||
         candidate.standing != Standing::InService) {
       continue;
     }
-    const std::uint64_t score = HomeScore(*part, candidate.name);
+    const std::uint64_t score = HomeScore(*prefix, candidate.name);
     if (home == nullptr || score > best) {
       home = &candidate;
       best = score;
@@ -72,7 +75,8 @@
   BackendClientOptions client;
   client.connectTimeout = this->options.connectTimeout;
   client.silentLinkTimeout = this->options.silentLinkTimeout;
-  // Silence is the request's own to bound: routes differ.
+  // The time-outs of a silent server differ by route, so each request sets its
+  // own (AttemptPatience).
   client.idleTimeout = seconds(3600);
   auto made = BackendClient::Create(this->loop, aInstance.address, client);
   if (!made.ok()) {
@@ -113,8 +117,8 @@
     }
     Member& member = found->second;
     member.isListed = true;
-    // An incarnation that has said that it leaves does not come back; an older
-    // list must not bring it back either.
+    // An incarnation that has announced that it leaves never returns, so an
+    // older list must not reset the flag.
     const bool leaving = member.instance.leaving || instance.leaving;
     if (leaving && !member.instance.leaving) {
       Log(
@@ -144,7 +148,7 @@
 {
   this->byService.clear();
   for (const auto& [name, member] : this->members) {
-    Listed& listed = this->byService[member.instance.service];
+    ServiceServers& listed = this->byService[member.instance.service];
     listed.all.push_back(name);
     if (this->cells > 1 && CellOf(name, this->cells) == this->cell) {
       listed.inCell.push_back(name);
@@ -153,8 +157,8 @@
   for (auto& [service, listed] : this->byService) {
     std::ranges::sort(listed.all, {}, ReservationOrder);
     std::ranges::sort(listed.inCell, {}, ReservationOrder);
-    // Of a few servers some cells would have one or none.
-    if (listed.all.size() < kLeastServersPerCell * this->cells) {
+    // With few servers some cells would get one or none.
+    if (listed.all.size() < kMinServersPerCell * this->cells) {
       listed.inCell.clear();
     } else {
       listed.cells = this->cells;
@@ -187,7 +191,8 @@
   }
   for (auto it = this->members.begin(); it != this->members.end();) {
     Member& member = it->second;
-    // For as long as it is listed, however long the word is remembered.
+    // Kept here because `needs` forgets the announcement after a while, whereas
+    // the server may stay listed for longer.
     member.instance.leaving =
       member.instance.leaving || this->needs.IsLeaving(it->first);
     if (!this->TakesWork(member)) {
@@ -203,7 +208,7 @@
     this->needs.Forget(it->first);
     this->flows[member.instance.service].Forget(it->first);
     this->health[member.instance.service].Remove(it->first);
-    Listed& listed = this->byService[member.instance.service];
+    ServiceServers& listed = this->byService[member.instance.service];
     std::erase(listed.all, it->first);
     std::erase(listed.inCell, it->first);
     it = this->members.erase(it);
@@ -219,9 +224,10 @@
   const std::size_t before = servers.Count();
   const std::uint64_t slots =
     aOccupancy.slots / std::max(aOccupancy.servers, 1U);
-  // A gateway that hears only some of the others takes them for as busy as
-  // these: otherwise one that is cut off reserves less than all others do, and
-  // sends long prompts where they keep interactive ones.
+  // Gateways without a recent digest are assumed to be as busy as the others:
+  // otherwise a gateway that is cut off would reserve fewer servers than the
+  // rest and send long prompts to servers that they reserve for interactive
+  // requests.
   const std::uint64_t interactive = aOccupancy.interactive *
                                     this->gatewaysInCell /
                                     (this->work.PeerCount() + 1);
@@ -259,21 +265,21 @@
 }
 
 bool
-BackendPool::HasConnection(const Member& aMember,
-                           const DirectService& aService,
-                           std::uint32_t aSlots,
-                           std::size_t aSharers) const
-{
-  // Each gateway has its part of the server's connections. Callers are spread
-  // unevenly, so as long as the work that all gateways tell of leaves room, one
-  // may go beyond its part.
+BackendPool::HasConnectionCapacity(const Member& aMember,
+                                   const DirectService& aService,
+                                   std::uint32_t aSlots,
+                                   std::size_t aSharingGateways) const
+{
+  // Each gateway has an equal share of the server's connections. Callers are
+  // spread unevenly over the gateways, so one may exceed its share while the
+  // requests that all gateways report leave room.
   const std::size_t busy =
     aMember.client->OpenConnections() - aMember.client->IdleConnections();
-  const std::size_t part =
-    aService.maxConnections / std::max<std::size_t>(aSharers, 1);
+  const std::size_t share =
+    aService.maxConnections / std::max<std::size_t>(aSharingGateways, 1);
   const std::uint32_t all = this->work.Total(aMember.instance.name).requests;
   const std::uint32_t reserve = std::max<std::uint32_t>(aSlots / 2, 1);
-  return busy < std::max<std::size_t>(part, 1) ||
+  return busy < std::max<std::size_t>(share, 1) ||
          all + reserve < aService.maxConnections;
 }
 
@@ -293,7 +299,8 @@
                                      aExcluded,
                                      this->gatewaysInCell,
                                      aNow);
-  // A cell may lose all its servers at once; others still have room then.
+  // A cell may lose all its servers at once; servers of other cells may still
+  // have room.
   if (found.empty()) {
     found = this->CandidatesAmong(
       listed->second.all, aService, aDemand, aExcluded, this->gateways, aNow);
@@ -311,8 +318,8 @@
                         TimePoint aNow)
 {
   ServerRates& rates = this->needs.Rates();
-  // Nothing to divide where a server takes what comes, and nothing to ask for
-  // the most common case, in which all do.
+  // Ranks compete only if every candidate limits its rate. LimitedCount() makes
+  // the common case cheap, in which no server does.
   if (rates.LimitedCount() == 0 ||
       std::ranges::any_of(aCandidates, [&](const DirectCandidate& aOne) {
         return !rates.IsLimited(aOne.name);
@@ -352,14 +359,14 @@
                              const DirectService& aService,
                              const DirectDemand& aDemand,
                              std::span<const InstanceName> aExcluded,
-                             std::size_t aSharers,
+                             std::size_t aSharingGateways,
                              TimePoint aNow)
 {
   std::vector<DirectCandidate> found;
   const auto tracker = this->health.find(aService.name);
   const auto flow = this->flows.find(aService.name);
   const auto reservation = this->reserved.find(aService.name);
-  std::size_t toReserve =
+  std::size_t reservedLeft =
     reservation == this->reserved.end() ? 0 : reservation->second.Count();
   for (const InstanceName& name : aNames) {
     const Member& member = this->members.at(name);
@@ -369,10 +376,11 @@
       continue;
     }
     const Standing standing = tracker->second.StandingOf(name);
-    const bool isReserved = toReserve > 0 && standing == Standing::InService;
-    toReserve -= isReserved ? 1 : 0;
+    const bool isReserved = reservedLeft > 0 && standing == Standing::InService;
+    reservedLeft -= isReserved ? 1 : 0;
     if (std::ranges::find(aExcluded, name) != aExcluded.end() ||
-        !this->HasConnection(member, aService, slots, aSharers) ||
+        !this->HasConnectionCapacity(
+          member, aService, slots, aSharingGateways) ||
         !this->needs.MaySend(name, this->CellsOf(member), aNow)) {
       continue;
     }
@@ -449,15 +457,15 @@
   if (listed == this->byService.end()) {
     return Duration::zero();
   }
-  std::optional<Duration> least;
+  std::optional<Duration> shortest;
   for (const InstanceName& name : listed->second.all) {
     if (this->TakesWork(this->members.at(name))) {
       const Duration wait =
         this->needs.UntilFree(name, listed->second.cells, aNow);
-      least = std::min(least.value_or(wait), wait);
+      shortest = std::min(shortest.value_or(wait), wait);
     }
   }
-  return least.value_or(Duration::zero());
+  return shortest.value_or(Duration::zero());
 }
 
 std::optional<SocketAddress>
@@ -509,7 +517,7 @@
   if (listed == this->byService.end()) {
     return sum;
   }
-  const Listed& names = listed->second;
+  const ServiceServers& names = listed->second;
   for (const InstanceName& name :
        names.inCell.empty() ? names.all : names.inCell) {
     const Member& member = this->members.at(name);
@@ -546,14 +554,14 @@
 BackendPool::OnRead(const InstanceName& aInstance,
                     std::span<const PromptStep> aSteps)
 {
-  // Others may tell of servers that this gateway doesn't know: nothing would
-  // ever forget these.
+  // Other gateways may report servers that this gateway doesn't have; their
+  // entries would never be removed.
   const auto member = this->members.find(aInstance);
   if (member == this->members.end() || aSteps.empty()) {
     return;
   }
   this->caches.OnUsed(
-    aInstance, aSteps, this->CacheRoomOf(member->second.instance.service));
+    aInstance, aSteps, this->CacheCapacityOf(member->second.instance.service));
 }
 
 void
@@ -565,22 +573,22 @@
 std::vector<ServiceLearning>
 BackendPool::Learned() const
 {
-  std::vector<ServiceLearning> learned;
+  std::vector<ServiceLearning> estimates;
   for (const auto& [service, flow] : this->flows) {
     ServiceLearning one{ service, flow.Learned() };
     const auto servers = this->reserved.find(service);
     if (servers != this->reserved.end()) {
       one.interactivePeak = servers->second.Peak();
     }
-    learned.push_back(std::move(one));
+    estimates.push_back(std::move(one));
   }
-  return learned;
+  return estimates;
 }
 
 void
-BackendPool::Seed(std::span<const ServiceLearning> aLearned, TimePoint aNow)
+BackendPool::Seed(std::span<const ServiceLearning> aEstimates, TimePoint aNow)
 {
-  for (const ServiceLearning& one : aLearned) {
+  for (const ServiceLearning& one : aEstimates) {
     this->flows[one.service].Seed(one.reading);
     this->reserved[one.service].Seed(one.interactivePeak, aNow);
   }
@@ -595,12 +603,12 @@
     return false;
   }
   this->caches.Seed(
-    aInstance, aSteps, this->CacheRoomOf(member->second.instance.service));
+    aInstance, aSteps, this->CacheCapacityOf(member->second.instance.service));
   return true;
 }
 
 std::uint64_t
-BackendPool::CacheRoomOf(const ServiceName& aService) const
+BackendPool::CacheCapacityOf(const ServiceName& aService) const
 {
   const auto room = this->cacheTokens.find(aService);
   return room == this->cacheTokens.end() ? 0 : room->second;
--- a/dogwoodvale/src/Gateway/BackendPool.h
+++ b/dogwoodvale/src/Gateway/BackendPool.h
@@ -11,7 +11,7 @@
 
 namespace dogwoodvale {
 
-/// What a gateway has learned of a service.
+/// Estimates that a gateway has measured for a service.
 struct ServiceLearning
 {
   ServiceName service;
@@ -20,14 +20,15 @@
   double interactivePeak = 0;
 };
 
-/// The backend servers of all services: who may take work, the connections to
-/// each, what is under way there and how healthy each looks.
+/// The backend servers of all services: which of them accept work, the
+/// connections to each, the requests in flight there and their health.
 class BackendPool
 {
 public:
   struct Options
   {
-    /// Bytes unacknowledged or an idle link silent for this long: it is gone.
+    /// A connection is considered lost after this long with unacknowledged
+    /// bytes or, when idle, without a sign of the peer.
     Duration silentLinkTimeout = seconds(1);
     Duration connectTimeout = milliseconds(500);
     GatewayDecisions decisions;
@@ -37,59 +38,64 @@
 
   BackendPool(EventLoop& aLoop, Options aOptions);
 
-  /// Takes a new list. Instances that it lacks, or that leave, get no new work;
-  /// what runs there goes on.
+  /// Replaces the list of servers. Instances missing from it, or marked as
+  /// leaving, get no new work; requests in flight there continue.
   void SetInstances(std::span<const DirectInstance> aInstances);
   /// \param aCount gateways of the site.
-  /// \param aInCell those of them in this one's cell.
+  /// \param aInCell those of them in the cell of this gateway.
   /// \param aCells cells of the site, \p aCell this gateway's own.
   void SetGateways(std::size_t aCount,
                    std::size_t aInCell,
                    std::size_t aCells,
                    std::size_t aCell);
-  /// Judges health, sweeps what is no longer used; call a few times a second.
+  /// Evaluates health, updates the reserved servers and removes servers that
+  /// are no longer listed or used; call a few times a second.
   void Tend(TimePoint aNow);
-  /// Kept connections may all be dead, e.g. after the process was suspended.
+  /// To be called when pooled connections may all be dead, e.g. after the
+  /// process was suspended.
   void CloseIdleConnections();
 
-  /// The servers of a service that may take this request now.
+  /// The servers of a service that may be sent this request now.
   std::vector<DirectCandidate> Candidates(
     const DirectService& aService,
     const DirectDemand& aDemand,
     std::span<const InstanceName> aExcluded,
     TimePoint aNow);
-  /// What one server of each service holds in its cache.
+  /// Sets the cache size of one server of each service.
   void SetServices(std::span<const DirectService> aServices);
-  /// The instance reads the prompt, sent by this gateway or another.
+  /// The prompt, sent by this gateway or another, enters the cache of the
+  /// instance. No-op for an instance that the pool does not have.
   void OnRead(const InstanceName& aInstance,
               std::span<const PromptStep> aSteps);
   /// A long prompt was sent to the instance, by this gateway or another.
   void OnLongPrompt(const InstanceName& aInstance,
                     std::uint32_t aTokens,
                     TimePoint aNow);
-  /// The client for one request to an instance that Candidates() named, which
-  /// is counted against what the server takes; null if it takes none now.
-  /// There is no other way to send a server a request.
+  /// The client for one request to an instance that Candidates() returned. The
+  /// request is counted against the server's limits; there is no other way to
+  /// send one, so that none bypasses them.
+  /// \return null if the server accepts no request now.
   BackendClient* Acquire(const InstanceName& aInstance,
                          const DirectDemand& aDemand,
                          TimePoint aNow);
-  /// Asks whether the instance still takes connections; sends no request.
-  /// \return false for one that is gone.
+  /// Probes whether the instance still accepts connections; sends no request.
+  /// \return false if the pool does not have the instance.
   bool Probe(const InstanceName& aInstance,
              std::function<void(ProbeResult)> aHandler);
-  /// Until a server of the service takes a request of this gateway, as far as
-  /// the servers have said.
+  /// Time until a server of the service accepts a request of this gateway,
+  /// according to the servers' back-pressure notices; 0 if one accepts it now
+  /// or the service has no server that accepts work.
   Duration UntilFree(const ServiceName& aService, TimePoint aNow);
   ServerNeeds& Needs() { return this->needs; }
-  /// Its address; nothing for one that is gone.
+  /// The address of the instance; nothing if the pool does not have it.
   std::optional<SocketAddress> AddressOf(const InstanceName& aInstance) const;
-  /// Whether the newest list names it.
+  /// Whether the instance is on the newest list.
   bool IsListed(const InstanceName& aInstance) const;
-  /// It has said that it leaves, or was taken off the list.
+  /// Whether the instance has announced that it leaves, or is off the list.
   bool IsLeaving(const InstanceName& aInstance) const;
-  /// What the server calls itself; empty for one that is gone.
+  /// See DirectInstance::server; empty if the pool does not have the instance.
   InstanceName ServerOf(const InstanceName& aInstance) const;
-  /// Slots of the service's live servers, and requests under way on them.
+  /// Slots of the servers that accept work, and requests in flight on them.
   struct Occupancy
   {
     std::uint32_t servers = 0;
@@ -99,30 +105,32 @@
   };
   Occupancy OccupancyOf(const ServiceName& aService) const;
 
-  /// What was learned of all services, for a gateway that starts.
+  /// The estimates of all services, for the warm start of a gateway.
   std::vector<ServiceLearning> Learned() const;
-  /// Takes what another gateway, or this one before its restart, has learned;
-  /// what is measured here stays.
-  void Seed(std::span<const ServiceLearning> aLearned, TimePoint aNow);
-  /// The same of a server's cache, see CacheBelief::Seed().
-  /// \return whether the server is known.
+  /// Takes over estimates of another gateway, or of this one before its
+  /// restart; values measured here are kept.
+  void Seed(std::span<const ServiceLearning> aEstimates, TimePoint aNow);
+  /// Takes over the expected cache content of a server, see
+  /// CacheBelief::Seed(). \return whether the pool has the server.
   bool SeedCache(const InstanceName& aInstance,
                  std::span<const PromptStep> aSteps);
 
   void OnSent(const InstanceName& aInstance,
               const BackendWork& aWork,
               std::span<const PromptStep> aSteps);
-  /// A part of the work is done (prefill), or all of it.
+  /// A part of the work (the prefill) or all of it is done.
   void OnDone(const InstanceName& aInstance, const BackendWork& aWork);
-  /// The health of the instance; a no-op for one that is gone.
+  /// The health tracker of the instance's service; null if the pool does not
+  /// have the instance.
   HealthTracker* HealthOf(const InstanceName& aInstance);
-  /// The head of one of the instance's answers came.
+  /// The head of one of the instance's answers arrived with this notice.
   void OnNotice(const InstanceName& aInstance,
                 const BackpressureNotice& aNotice,
                 TimePoint aNow);
-  /// What another gateway tells of the servers.
+  /// Takes in what another gateway reports about the servers.
   void Hear(const PeerDigest& aDigest, TimePoint aNow);
-  /// Another instance has its address: takes it out at once.
+  /// Another instance answers at the instance's address: no more work is sent
+  /// to it.
   void OnWrongInstance(const InstanceName& aInstance);
 
   const GatewayDecisions& Decisions() const { return this->options.decisions; }
@@ -146,24 +154,27 @@
   {
     DirectInstance instance;
     std::unique_ptr<BackendClient> client;
-    /// In the newest list.
+    /// Whether it is on the newest list.
     bool isListed = true;
   };
 
   /// The servers of one service, in the order in which they are reserved.
-  struct Listed
+  struct ServiceServers
   {
     std::vector<InstanceName> all;
-    /// Those of this gateway's cell; empty where the service is not split.
+    /// The servers of this gateway's cell; empty if the service is not split
+    /// into cells.
     std::vector<InstanceName> inCell;
-    /// Into how many cells it is split; 1 where it is not.
+    /// Number of cells that the service is split into; 1 if it is not split.
     std::size_t cells = 1;
   };
 
   void Add(const DirectInstance& aInstance);
+  /// Rebuilds byService from the members and the cells.
   void ListServices();
-  /// Tokens that fit into a server's cache; 0 while unknown.
-  std::uint64_t CacheRoomOf(const ServiceName& aService) const;
+  /// Tokens that fit into the cache of one server; 0 while unknown.
+  std::uint64_t CacheCapacityOf(const ServiceName& aService) const;
+  /// Updates the number of servers reserved for interactive requests.
   void Reserve(const ServiceName& aService,
                const Occupancy& aOccupancy,
                TimePoint aNow);
@@ -172,23 +183,25 @@
     const DirectService& aService,
     const DirectDemand& aDemand,
     std::span<const InstanceName> aExcluded,
-    std::size_t aSharers,
+    std::size_t aSharingGateways,
     TimePoint aNow);
-  /// Whether a request of this rank may have one of the candidates, where all
-  /// of them bound their rate.
+  /// Whether a request of this rank is admitted when all candidates limit their
+  /// rate; always true when one of them does not.
   bool AdmitsRank(const ServiceName& aService,
                   std::uint32_t aRank,
                   std::span<const DirectCandidate> aCandidates,
                   TimePoint aNow);
-  /// Whether this gateway's cell uses a server that it knows.
+  /// Whether the pool has the server and gateways of this cell use it.
   bool MayUse(const InstanceName& aName) const;
-  /// Into how many cells the server's service is split.
+  /// Number of cells that the server's service is split into; 1 if not split.
   std::size_t CellsOf(const Member& aMember) const;
   bool TakesWork(const Member& aMember) const;
-  bool HasConnection(const Member& aMember,
-                     const DirectService& aService,
-                     std::uint32_t aSlots,
-                     std::size_t aSharers) const;
+  /// Whether this gateway may open or use one more connection to the server.
+  /// \param aSharingGateways gateways that use the server.
+  bool HasConnectionCapacity(const Member& aMember,
+                             const DirectService& aService,
+                             std::uint32_t aSlots,
+                             std::size_t aSharingGateways) const;
 
   EventLoop& loop;
   Options options;
@@ -197,7 +210,7 @@
   std::size_t cells = 1;
   std::size_t cell = 0;
   std::map<InstanceName, Member> members;
-  absl::flat_hash_map<ServiceName, Listed> byService;
+  absl::flat_hash_map<ServiceName, ServiceServers> byService;
   std::map<ServiceName, HealthTracker> health;
   std::map<ServiceName, PrefillFlow> flows;
   std::map<ServiceName, PauseProfile> pauses;
@@ -206,7 +219,7 @@
   std::map<ServiceName, RankReserve> reserves;
   WorkTable work;
   CacheBelief caches;
-  /// Tokens that fit into one server's cache.
+  /// Tokens that fit into the cache of one server.
   std::map<ServiceName, std::uint64_t> cacheTokens;
 };
 
--- a/dogwoodvale/src/Gateway/CallerLimits.cpp
+++ b/dogwoodvale/src/Gateway/CallerLimits.cpp
@@ -6,13 +6,14 @@
 
 namespace {
 
-/// Callers' connections get one part in this many of the descriptors; the rest
-/// is for backend servers, the store, gateways and listeners.
+/// Caller connections may use one in this many file descriptors; the rest is
+/// for backend servers, the store, other gateways and listeners.
 constexpr std::uint32_t kDescriptorShareForCallers = 2;
-/// Callers may use a connection up to the configured idle time; closing a
-/// little later keeps their last request from crossing the close.
+/// Idle connections are closed at this many tenths of the configured idle time.
+/// Callers may use a connection up to that time; closing later avoids a race
+/// between their last request and the close.
 constexpr int kIdleTimeoutTenths = 13;
-constexpr Duration kLeastReadTimeout = seconds(20);
+constexpr Duration kMinReadTimeout = seconds(20);
 
 } // namespace
 
@@ -30,7 +31,7 @@
   if (aLimits.idleTimeout > Duration::zero()) {
     bounds.idleTimeout = aLimits.idleTimeout * kIdleTimeoutTenths / 10;
   }
-  bounds.readTimeout = std::max(kLeastReadTimeout, aLimits.headerTimeout);
+  bounds.readTimeout = std::max(kMinReadTimeout, aLimits.headerTimeout);
   return bounds;
 }
 
--- a/dogwoodvale/src/Gateway/CallerLimits.h
+++ b/dogwoodvale/src/Gateway/CallerLimits.h
@@ -8,9 +8,9 @@
 
 namespace dogwoodvale {
 
-/// What callers may send and how long they may take, by the configuration in
-/// force; what it does not say stays at the server's own bound.
-/// \param aDescriptors that the process may hold.
+/// Bounds on the size and duration of callers' requests, from the configuration
+/// in force; a limit that it does not set keeps the default of CallerBounds.
+/// \param aDescriptors file descriptors that the process may open.
 CallerBounds
 BoundsOf(const CallerLimits& aLimits, std::uint32_t aDescriptors);
 
--- a/dogwoodvale/src/Gateway/CopyWait.cpp
+++ b/dogwoodvale/src/Gateway/CopyWait.cpp
@@ -15,19 +15,20 @@
   if (hasToWait && !this->since) {
     this->since = aNow;
   }
-  if (!this->since || Between(*this->since, aNow) >= kLongestWait) {
+  if (!this->since || Between(*this->since, aNow) >= kMaxWait) {
     return std::nullopt;
   }
   if (hasToWait) {
-    this->yields = true;
+    this->needsRandomDelay = true;
     return kCheckPeriod;
   }
-  // One that an answer has cleared meanwhile has no more copies to let go
-  // first.
-  if (!std::exchange(this->yields, false) || !aGuard.IsSuspect(aRequest)) {
+  // No random delay if an answer has cleared the request meanwhile: duplicates
+  // may then run at the same time.
+  if (!std::exchange(this->needsRandomDelay, false) ||
+      !aGuard.IsSuspect(aRequest)) {
     return std::nullopt;
   }
-  std::uniform_int_distribution<Duration::rep> draw(0, kLongestYield.count());
+  std::uniform_int_distribution<Duration::rep> draw(0, kMaxRandomDelay.count());
   return Duration(draw(aRandom));
 }
 
--- a/dogwoodvale/src/Gateway/CopyWait.h
+++ b/dogwoodvale/src/Gateway/CopyWait.h
@@ -8,36 +8,38 @@
 
 namespace dogwoodvale {
 
-/// How one request waits for its turn while it is suspected of crashing
-/// servers, so that its copies run one after the other.
+/// Delays a request that is suspected of crashing servers while a duplicate of
+/// it is in flight, so that duplicates run one after another.
 ///
-/// Without it, ten gateways that get the same crashing body at once run it 20
-/// times before they have heard of each other's ends; with it 10, which is what
-/// came before the first end (CrashingRequest). Nobody is refused for a
-/// suspicion: after kLongestWait it goes on.
+/// When ten gateways get the same crashing request at once, they run it 20
+/// times before the digests have told them of the crashes; with the delay it is
+/// 10, the number that arrives before the first crash (test CrashingRequest). A
+/// suspected request is never refused: after kMaxWait it is sent.
 class CopyWait
 {
 public:
   /// \param aIsNew see CrashGuard::HasToWait().
-  /// \return when to ask again; nothing if it may go.
+  /// \return time until the next call; nothing if the request may be sent.
   std::optional<Duration> Next(const CrashGuard& aGuard,
                                RequestFingerprint aRequest,
                                bool aIsNew,
                                TimePoint aNow,
                                std::mt19937_64& aRandom);
 
-  /// One that crashes a server does so within half a second; one that does not
-  /// may take long, and its copies need not wait for its end.
-  static constexpr Duration kLongestWait = seconds(1);
+  /// A request that crashes a server does so within half a second. One that
+  /// does not may run for long, and its duplicates need not wait for its end.
+  static constexpr Duration kMaxWait = seconds(1);
   static constexpr Duration kCheckPeriod = milliseconds(20);
-  /// Copies that wait at several gateways would all go in the same moment;
-  /// drawn apart, the first is heard of before most others go.
-  static constexpr Duration kLongestYield = milliseconds(200);
+  /// Upper bound of a random delay before a request that has waited is sent:
+  /// duplicates waiting at several gateways would otherwise be sent in the same
+  /// moment, before the digests tell of the first.
+  static constexpr Duration kMaxRandomDelay = milliseconds(200);
 
 private:
+  /// Start of the wait.
   std::optional<TimePoint> since;
-  /// It has waited, and others' copies may go first.
-  bool yields = false;
+  /// The request has waited and takes the random delay before it is sent.
+  bool needsRandomDelay = false;
 };
 
 } // namespace dogwoodvale
--- a/dogwoodvale/src/Gateway/DirectAttempt.cpp
+++ b/dogwoodvale/src/Gateway/DirectAttempt.cpp
@@ -46,15 +46,16 @@
 }
 
 DirectAttempt::DirectAttempt(EventLoop& aLoop,
-                             const BackendDialect& aDialect,
+                             const BackendDialect& aProtocol,
                              Plan aPlan,
                              AttemptListener& aListener)
-  : dialect(aDialect)
+  : protocol(aProtocol)
   , plan(std::move(aPlan))
   , listener(aListener)
   , splitter(this->plan.resumeAfter)
-  , silence(aLoop, [this] {
-    this->Fail(AttemptFailure::Silent, "no sign of life in time");
+  , silenceTimer(aLoop, [this] {
+    this->Fail(AttemptFailure::Silent,
+               "the server sent nothing within the time-out");
   })
 {
 }
@@ -63,12 +64,13 @@
 DirectAttempt::Start(BackendClient& aClient, const HttpRequest& aRequest)
 {
   this->startedAt = Now();
-  this->Wait(this->plan.patience.firstSign);
-  this->call = aClient.StartFresh(aRequest, *this, this->plan.freshness);
+  this->RestartTimeout(this->plan.timeouts.firstResponse);
+  this->call =
+    aClient.StartFresh(aRequest, *this, this->plan.maxConnectionIdle);
 }
 
 std::optional<BrokenAttempt>
-DirectAttempt::Break(TimePoint aNow) const
+DirectAttempt::ConnectionBreak(TimePoint aNow) const
 {
   if (this->breakReason.ok()) {
     return std::nullopt;
@@ -82,12 +84,12 @@
 }
 
 void
-DirectAttempt::Wait(Duration aPatience)
+DirectAttempt::RestartTimeout(Duration aTimeout)
 {
-  if (aPatience > Duration::zero()) {
-    this->silence.StartOnce(aPatience);
+  if (aTimeout > Duration::zero()) {
+    this->silenceTimer.StartOnce(aTimeout);
   } else {
-    this->silence.Stop();
+    this->silenceTimer.Stop();
   }
 }
 
@@ -102,14 +104,14 @@
 bool
 DirectAttempt::IsOwnAnswer(std::span<const HeaderField> aHeaders)
 {
-  const BackendAnswer head = this->dialect.ReadHead(0, aHeaders);
+  const BackendAnswer head = this->protocol.ReadHead(0, aHeaders);
   return head.attemptId.empty() || head.attemptId == this->plan.attemptId;
 }
 
 void
 DirectAttempt::OnHead(int aStatus, std::span<const HeaderField> aHeaders)
 {
-  this->answer = this->dialect.ReadHead(aStatus, aHeaders);
+  this->answer = this->protocol.ReadHead(aStatus, aHeaders);
   this->headers = WithoutHopByHop(aHeaders);
   this->isStream = this->plan.expectsStream && IsSuccess(aStatus) &&
                    this->answer.mediaType.starts_with(kEventStream);
@@ -120,15 +122,16 @@
 DirectAttempt::OnBody(std::string_view aBytes)
 {
   if (!this->isStream) {
-    if (this->body.size() + aBytes.size() > kMaxHeldBytes) {
-      this->Fail(AttemptFailure::Garbled, "the answer is too long");
+    if (this->body.size() + aBytes.size() > kMaxBufferedBytes) {
+      this->Fail(AttemptFailure::Garbled, "the answer exceeds the size bound");
       return;
     }
     this->body += aBytes;
     return;
   }
   if (!this->answer.isGenuine) {
-    this->Fail(AttemptFailure::Garbled, "a stream with no proof of its server");
+    this->Fail(AttemptFailure::Garbled,
+               "the stream lacks proof that a backend server sent it");
     return;
   }
   const absl::StatusOr<std::string_view> events = this->splitter.Feed(aBytes);
@@ -137,7 +140,7 @@
     return;
   }
   if (!events->empty()) {
-    this->Wait(this->plan.patience.betweenEvents);
+    this->RestartTimeout(this->plan.timeouts.betweenEvents);
     this->listener.OnAttemptEvents(*events);
   }
 }
@@ -145,15 +148,16 @@
 void
 DirectAttempt::OnComplete()
 {
-  this->silence.Stop();
+  this->silenceTimer.Stop();
   if (this->answer.notRun) {
     this->Fail(this->answer.wrongInstance ? AttemptFailure::WrongInstance
                                           : AttemptFailure::Refused,
-               "the server did not run it");
+               "the server refused the request without running it");
     return;
   }
   if (this->answer.wrongInstance || this->answer.status == kMisdirected) {
-    this->Fail(AttemptFailure::WrongInstance, "another instance is there");
+    this->Fail(AttemptFailure::WrongInstance,
+               "another instance answers at the server's address");
     return;
   }
   if (!this->isStream) {
@@ -161,7 +165,8 @@
     return;
   }
   if (this->splitter.HasPartialEvent() || this->splitter.EventCount() == 0) {
-    this->Fail(AttemptFailure::Garbled, "the stream ended inside an event");
+    this->Fail(AttemptFailure::Garbled,
+               "the stream ended inside an event or without any");
     return;
   }
   this->listener.OnAttemptStreamEnd();
@@ -183,10 +188,10 @@
 void
 DirectAttempt::Fail(AttemptFailure aFailure, std::string_view aReason)
 {
-  this->silence.Stop();
-  // Closes the connection, so that the server stops working on it before the
-  // request goes elsewhere. Kept alive until the listener is told, which may
-  // destroy this attempt.
+  this->silenceTimer.Stop();
+  // Destroying the call closes the connection, so that the server stops working
+  // on the request. The call and a copy of the reason outlive the callback,
+  // which may destroy this attempt.
   const std::unique_ptr<BackendCall> ended = std::move(this->call);
   const std::string reason(aReason);
   this->listener.OnAttemptFailed(aFailure, reason);
--- a/dogwoodvale/src/Gateway/DirectAttempt.h
+++ b/dogwoodvale/src/Gateway/DirectAttempt.h
@@ -15,44 +15,45 @@
 {
   /// No byte was written.
   NotSent,
-  /// The server says that it did not run the request.
+  /// The server states that it did not run the request.
   Refused,
-  /// Another instance has the address.
+  /// Another instance answers at the address.
   WrongInstance,
   /// The connection was lost after the request was sent.
   Lost,
-  /// Nothing came for longer than patience lasts.
+  /// The server sent nothing for longer than AttemptPatience allows.
   Silent,
-  /// What came is no answer, or not a whole one.
+  /// The answer is malformed, truncated or not proven to be a backend server's.
   Garbled,
 };
 
+/// Name of the failure in log lines.
 std::string_view
 AttemptFailureName(AttemptFailure aFailure);
 
-/// Whether the request has surely not run.
+/// Whether the failure guarantees that the request has not run.
 bool
 IsNotRun(AttemptFailure aFailure);
 
-/// Is told how an attempt goes. Callbacks may destroy the attempt.
+/// Receives the events of an attempt. Callbacks may destroy the attempt.
 class AttemptListener
 {
 public:
   virtual ~AttemptListener() = default;
-  /// The head of an answer, whatever comes of the answer.
+  /// The head of an answer arrived, also of one that fails later.
   virtual void OnAttemptHead(const BackendAnswer& aHead) = 0;
-  /// Whole events of a stream; the first call is the first sign of the answer.
+  /// One or more whole events of a stream.
   virtual void OnAttemptEvents(std::string_view aBytes) = 0;
-  /// The stream is whole.
+  /// The stream is complete.
   virtual void OnAttemptStreamEnd() = 0;
-  /// A whole answer that is not a stream.
+  /// A complete answer that is not a stream.
   virtual void OnAttemptAnswer(std::string_view aBody) = 0;
   virtual void OnAttemptFailed(AttemptFailure aFailure,
                                std::string_view aReason) = 0;
 };
 
-/// One request sent to one backend server, until its answer is whole or will
-/// not be. Destroying it cancels by closing the connection.
+/// One request sent to one backend server, until its answer is complete or has
+/// failed. Destroying it cancels the request by closing the connection.
 class DirectAttempt final : public BackendCallHandler
 {
 public:
@@ -61,15 +62,15 @@
     InstanceName instance;
     std::string attemptId;
     bool expectsStream = false;
-    /// The last event that the caller has.
+    /// Id of the last event that the caller has, if a stream is resumed.
     std::optional<std::uint64_t> resumeAfter;
-    AttemptPatience patience;
-    /// Oldest kept connection that may be used.
-    Duration freshness = Duration::max();
+    AttemptPatience timeouts;
+    /// A pooled connection that has been idle for longer is not used.
+    Duration maxConnectionIdle = Duration::max();
   };
 
   DirectAttempt(EventLoop& aLoop,
-                const BackendDialect& aDialect,
+                const BackendDialect& aProtocol,
                 Plan aPlan,
                 AttemptListener& aListener);
 
@@ -83,8 +84,9 @@
     return this->splitter.LastId();
   }
   void SetReadingPaused(bool aPaused);
-  /// How its connection broke after the request was sent, if it did.
-  std::optional<BrokenAttempt> Break(TimePoint aNow) const;
+  /// How the connection broke after the request was sent; nothing if it did
+  /// not break.
+  std::optional<BrokenAttempt> ConnectionBreak(TimePoint aNow) const;
 
   bool IsOwnAnswer(std::span<const HeaderField> aHeaders) override;
   void OnHead(int aStatus, std::span<const HeaderField> aHeaders) override;
@@ -92,18 +94,19 @@
   void OnComplete() override;
   void OnFailed(const absl::Status& aReason, bool aWritten) override;
 
-  /// Most bytes of an answer that is held until it is whole.
-  static constexpr std::size_t kMaxHeldBytes = 8U << 20U;
+  /// Bound on an answer that is not a stream; it is buffered until complete.
+  static constexpr std::size_t kMaxBufferedBytes = 8U << 20U;
 
 private:
   void Fail(AttemptFailure aFailure, std::string_view aReason);
-  void Wait(Duration aPatience);
+  /// Restarts the time-out for the next part of the answer; 0 disables it.
+  void RestartTimeout(Duration aTimeout);
 
-  const BackendDialect& dialect;
+  const BackendDialect& protocol;
   Plan plan;
   AttemptListener& listener;
   EventSplitter splitter;
-  Timer silence;
+  Timer silenceTimer;
   std::unique_ptr<BackendCall> call;
   BackendAnswer answer;
   std::vector<HeaderField> headers;
--- a/dogwoodvale/src/Gateway/EventSplitter.cpp
+++ b/dogwoodvale/src/Gateway/EventSplitter.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// The end of the last whole event in \p aBytes; 0 if there is none.
+/// Offset past the last whole event in \p aBytes; 0 if there is none.
 std::size_t
 EndOfEvents(std::string_view aBytes)
 {
@@ -50,21 +50,21 @@
 absl::StatusOr<std::string_view>
 EventSplitter::Feed(std::string_view aBytes)
 {
-  this->whole.clear();
-  this->held += aBytes;
-  const std::size_t end = EndOfEvents(this->held);
+  this->complete.clear();
+  this->pending += aBytes;
+  const std::size_t end = EndOfEvents(this->pending);
   if (end == 0) {
-    if (this->held.size() > kMaxEventBytes) {
-      return absl::ResourceExhaustedError("an event is too long");
+    if (this->pending.size() > kMaxEventBytes) {
+      return absl::ResourceExhaustedError("an event exceeds the size bound");
     }
     return std::string_view{};
   }
-  this->whole.assign(this->held, 0, end);
-  this->held.erase(0, end);
-  if (absl::Status status = this->Check(this->whole); !status.ok()) {
+  this->complete.assign(this->pending, 0, end);
+  this->pending.erase(0, end);
+  if (absl::Status status = this->Check(this->complete); !status.ok()) {
     return status;
   }
-  return std::string_view(this->whole);
+  return std::string_view(this->complete);
 }
 
 absl::Status
@@ -79,11 +79,11 @@
     if (!id) {
       continue;
     }
-    // A server that does not go on where it was asked to, but starts over or
-    // skips, would make one answer of two runs.
+    // A server that restarts the stream or skips events instead of resuming it
+    // would mix two runs into one answer.
     if (this->last && *id != *this->last + 1) {
       return MakeError(absl::StatusCode::kDataLoss,
-                       "event {} follows event {}",
+                       "event id {} follows event id {}",
                        *id,
                        *this->last);
     }
--- a/dogwoodvale/src/Gateway/Gateway.cpp
+++ b/dogwoodvale/src/Gateway/Gateway.cpp
@@ -10,15 +10,15 @@
 
 namespace {
 
-constexpr Duration kTendPeriod = CrashLedger::kJudgePeriod;
+constexpr Duration kMaintenancePeriod = CrashLedger::kJudgePeriod;
 constexpr Duration kStopCheckPeriod = milliseconds(20);
-/// The list of backend servers is read this many times in the span within which
-/// a leaving server must get no more work: one read may fail and the next still
-/// be in time.
+/// Reads of the list of backend servers within the time (instanceDrain) after
+/// which a leaving server must get no more work: if one read fails, the next is
+/// still in time.
 constexpr int kReadsPerDrain = 3;
-/// Part of that time by which the pace of gateways differs.
+/// Share by which the read period of a gateway may be shorter than the longest.
 constexpr double kReadPeriodSpread = 0.15;
-/// After this many reads that did not come, other gateways are asked.
+/// After this many missed reads the list is fetched from other gateways.
 constexpr int kMissedReads = 2;
 
 } // namespace
@@ -30,7 +30,7 @@
 {
   if (DirectChooser::Create(aSettings.gateway.chooser) == nullptr) {
     return MakeError(absl::StatusCode::kInvalidArgument,
-                     "\"{}\" is no chooser of a gateway",
+                     "unknown gateway chooser \"{}\"",
                      aSettings.gateway.chooser);
   }
   std::unique_ptr<Gateway> made(
@@ -65,24 +65,25 @@
           aSettings.instance,
           this->incarnation,
           aSettings.gateway.duties)
-  , suspensions(aLoop, [this](Duration aLost) { this->OnSuspended(aLost); })
-  , tendTimer(aLoop, [this] { this->Tend(); })
-  , sweepTimer(aLoop, [this] { this->Sweep(); })
+  , suspensionDetector(aLoop,
+                       [this](Duration aLost) { this->OnSuspended(aLost); })
+  , maintenanceTimer(aLoop, [this] { this->RunMaintenance(); })
+  , destroyTimer(aLoop, [this] { this->DestroyDoneRequests(); })
   , stopTimer(aLoop, [this] { this->CheckStopped(); })
 {
 }
 
 Gateway::~Gateway()
 {
-  // Requests use what else is here; they go first.
+  // Requests refer to the other members, so they are destroyed first.
   this->requests.clear();
 }
 
 std::vector<SocketAddress>
 Gateway::SeedAddresses() const
 {
-  // All gateways of a site talk on the same port; a seed may name another of
-  // that machine's.
+  // All gateways of a site use the same peer port; a seed address may carry
+  // another port of its machine.
   std::vector<SocketAddress> seeds = this->settings.gateway.seeds;
   for (SocketAddress& seed : seeds) {
     seed.port = this->settings.peers.port;
@@ -93,8 +94,9 @@
 Duration
 Gateway::InstanceReadPeriod()
 {
-  // Each gateway has a period of its own, a little shorter than what it must
-  // be: those that started together would read together for ever.
+  // Each gateway draws a period a little shorter than the longest allowed, so
+  // that gateways started together do not keep reading the store at the same
+  // time.
   std::uniform_real_distribution<double> draw(1.0 - kReadPeriodSpread, 1.0);
   const Duration longest =
     this->settings.gateway.instanceDrain / kReadsPerDrain;
@@ -150,7 +152,7 @@
   this->directory->Start();
   this->warmStart->Start();
   this->crashes.Start();
-  this->tendTimer.StartRepeating(kTendPeriod);
+  this->maintenanceTimer.StartRepeating(kMaintenancePeriod);
   return absl::OkStatus();
 }
 
@@ -167,7 +169,7 @@
   }
 }
 
-// Callers.
+// Requests of callers.
 
 void
 Gateway::Refuse(CallerExchange& aExchange,
@@ -185,10 +187,11 @@
 void
 Gateway::OnRequest(std::unique_ptr<CallerExchange> aExchange)
 {
-  CallerEnvelope envelope = this->ports.callers->Read(aExchange->Request());
-  const std::string id = envelope.attemptId;
+  CallerEnvelope callerMetadata =
+    this->ports.callers->Read(aExchange->Request());
+  const std::string id = callerMetadata.attemptId;
   auto result = AdmitRequest(aExchange->Request(),
-                             std::move(envelope),
+                             std::move(callerMetadata),
                              this->directory->Routes().Table(),
                              this->pool,
                              this->random);
@@ -243,9 +246,9 @@
 }
 
 void
-Gateway::OnBegan(const CustomerName& aCustomer, TimePoint aBegan)
+Gateway::OnExecutionStarted(const CustomerName& aCustomer, TimePoint aStarted)
 {
-  this->usage.Count(aCustomer, aBegan);
+  this->usage.Count(aCustomer, aStarted);
 }
 
 void
@@ -253,17 +256,17 @@
 {
   this->metrics.Record(aRequest);
   LogRequestEnd(aRequest, this->ListAge());
-  this->sweepTimer.StartOnce(Duration(0));
+  this->destroyTimer.StartOnce(Duration(0));
 }
 
 void
-Gateway::Sweep()
+Gateway::DestroyDoneRequests()
 {
   std::erase_if(this->requests,
                 [](const auto& aItem) { return aItem.second->IsDone(); });
 }
 
-// What is believed.
+// State of the fleet and the configuration.
 
 Duration
 Gateway::ListAge() const
@@ -343,18 +346,19 @@
 void
 Gateway::OnDigest(const PeerDigest& aDigest, const SocketAddress& aFrom)
 {
-  auto& [lifetime, sequence] = this->digests[aDigest.gateway];
-  if (lifetime == aDigest.incarnation && aDigest.sequence <= sequence) {
+  auto& [knownIncarnation, sequence] = this->digests[aDigest.gateway];
+  if (knownIncarnation == aDigest.incarnation && aDigest.sequence <= sequence) {
     return;
   }
-  lifetime = aDigest.incarnation;
+  knownIncarnation = aDigest.incarnation;
   sequence = aDigest.sequence;
   const TimePoint now = Now();
   this->directory->NoteOthersContact(aDigest.storeContact, now);
   this->pool.Hear(aDigest, now);
   this->crashes.Hear(aDigest);
   this->directory->NoteOthersList(aDigest.list, now);
-  // A gateway of another cell sends one now and then.
+  // Gateways of other cells send a digest only occasionally; usage reporting
+  // and the warm start work within a cell.
   if (CellOf(aDigest.gateway, this->cells) == this->ownCell) {
     this->usage.Hear(aDigest);
     this->warmStart->OnHeard(aDigest.gateway, now);
@@ -366,7 +370,7 @@
     }
   }
   this->catchUp.OnTold(aFrom, aDigest.routesVersion, now);
-  this->AskForRoutes(now);
+  this->FetchRoutesFromPeer(now);
 }
 
 void
@@ -396,7 +400,7 @@
 }
 
 void
-Gateway::AskForRoutes(TimePoint aNow)
+Gateway::FetchRoutesFromPeer(TimePoint aNow)
 {
   const std::string path(PeerExchange::kRoutesPath);
   this->catchUp.SetWatching(this->directory->Routes().IsWatching());
@@ -408,18 +412,20 @@
 }
 
 void
-Gateway::AskGatewaysWhereBehind(TimePoint aNow)
+Gateway::FetchOutdatedFromPeers(TimePoint aNow)
 {
-  // The store may turn this machine away and serve the others.
-  const Duration patience =
+  // The store may reject this machine, or be unreachable from it, while it
+  // serves the others.
+  const Duration maxAge =
     kMissedReads * this->settings.gateway.instanceDrain / kReadsPerDrain;
   if (!this->directory->HasInstances() || this->directory->IsBehind(aNow) ||
-      this->directory->InstancesAge(aNow) > patience) {
+      this->directory->InstancesAge(aNow) > maxAge) {
     this->peers->FetchFromAny(std::string(PeerExchange::kInstancesPath),
                               this->random);
   }
-  this->AskForRoutes(aNow);
-  // Before the first digest nobody is known to have routes; the seeds may.
+  this->FetchRoutesFromPeer(aNow);
+  // Before the first digest it is not known which gateways have routes; the
+  // seeds may.
   if (this->directory->Routes().Table() == nullptr &&
       !this->catchUp.IsBehind(aNow)) {
     this->peers->FetchFromAny(std::string(PeerExchange::kRoutesPath),
@@ -431,12 +437,12 @@
 }
 
 void
-Gateway::Tend()
+Gateway::RunMaintenance()
 {
   const TimePoint now = Now();
   this->pool.Tend(now);
   this->crashes.Tend();
-  this->AskGatewaysWhereBehind(now);
+  this->FetchOutdatedFromPeers(now);
   if (!this->stopping) {
     this->usage.Tend(*this->peers, this->random);
     this->warmStart->Tend(now, this->ownCell == 0);
@@ -453,7 +459,7 @@
   this->directory->Refresh();
 }
 
-// The end.
+// Planned stop.
 
 void
 Gateway::BeginStop()
@@ -474,21 +480,21 @@
 Gateway::CheckStopped()
 {
   const TimePoint now = Now();
-  if (!this->stopSchedule.IsNoticed(now)) {
+  if (!this->stopSchedule.IsOutOfBalancer(now)) {
     return;
   }
-  // The balancer may have nobody else and go on sending. What is accepted late
-  // in the grace would be cut off at its end, so nothing is: a caller whose
-  // connection is refused knows that its request was not read.
+  // If no other gateway is left, the balancer keeps sending. A request accepted
+  // late in the grace period would be cut off at its end, so connections are
+  // refused instead: the caller then knows that its request was not read.
   if (this->accepting) {
     this->accepting = false;
     this->callers->StopAccepting();
   }
   this->callers->CloseIdleConnections();
-  const bool isQuiet =
+  const bool isIdle =
     this->requests.empty() && this->callers->OpenConnections() == 0;
-  if (isQuiet || this->stopSchedule.IsOver(now)) {
-    Log(isQuiet ? LogLevel::Info : LogLevel::Warning,
+  if (isIdle || this->stopSchedule.IsDrainOver(now)) {
+    Log(isIdle ? LogLevel::Info : LogLevel::Warning,
         "stopped",
         "requests",
         this->requests.size());
--- a/dogwoodvale/src/Gateway/Gateway.h
+++ b/dogwoodvale/src/Gateway/Gateway.h
@@ -20,8 +20,8 @@
 
 namespace dogwoodvale {
 
-/// The gateway role, wired: callers on one side, backend servers on the other
-/// with no sidecar between, other gateways and operators beside.
+/// The gateway role: connects callers with backend servers, which it reaches
+/// without sidecars, and serves the other gateways and operators.
 class Gateway final
   : public CallerHandler
   , public GatewayRequestHost
@@ -36,10 +36,12 @@
     GatewayPorts aPorts);
   ~Gateway() override;
 
-  /// Starts a planned stop: unready at once, goes on accepting until the
-  /// balancer has noticed, finishes what it has, then stops the loop.
+  /// Starts a planned stop: reports unready at once, accepts connections until
+  /// the balancer has removed the gateway, drains the requests in flight, then
+  /// stops the loop. See StopSchedule for the times.
   void BeginStop();
-  /// Takes what may change while the process runs: bounds and seeds.
+  /// Applies the settings that may change at run time: the retry budget and the
+  /// seed addresses.
   void Reload(const DaemonSettings& aSettings);
 
   SocketAddress CallerAddress() const { return this->callers->Address(); }
@@ -58,7 +60,8 @@
   void OnSent(const InstanceName& aInstance,
               std::span<const PromptStep> aSteps,
               std::uint32_t aLongTokens) override;
-  void OnBegan(const CustomerName& aCustomer, TimePoint aBegan) override;
+  void OnExecutionStarted(const CustomerName& aCustomer,
+                          TimePoint aStarted) override;
   void OnDone(GatewayRequest& aRequest) override;
 
   void OnRoutes(std::shared_ptr<const RouteTable> aRoutes) override;
@@ -83,20 +86,23 @@
           const DaemonSettings& aSettings,
           GatewayPorts aPorts);
   absl::Status Open();
-  /// From one read of the list of backend servers to the next.
+  /// Draws the interval between two reads of the list of backend servers.
   Duration InstanceReadPeriod();
-  void Tend();
-  void AskGatewaysWhereBehind(TimePoint aNow);
-  void AskForRoutes(TimePoint aNow);
+  void RunMaintenance();
+  /// Fetches from other gateways what this one lacks or has only outdated.
+  void FetchOutdatedFromPeers(TimePoint aNow);
+  void FetchRoutesFromPeer(TimePoint aNow);
   void CheckStopped();
-  void Sweep();
+  /// Destroys the requests that are done (deferred deletion).
+  void DestroyDoneRequests();
   void OnSuspended(Duration aLost);
   void Refuse(CallerExchange& aExchange,
               const RequestError& aError,
               std::string_view aId);
   std::vector<SocketAddress> SeedAddresses() const;
   std::size_t GatewayCount() const;
-  /// What another gateway may ask for; nothing where there is no such thing.
+  /// The document that other gateways fetch at the path; nothing if there is
+  /// none or this gateway has no list of servers yet.
   std::optional<std::string> DocumentAt(std::string_view aPath) const;
 
   EventLoop& loop;
@@ -118,8 +124,9 @@
   std::unique_ptr<OperatorServer> peerServer;
   std::map<ServiceName, RetryWindow> retries;
   std::map<GatewayRequest*, std::unique_ptr<GatewayRequest>> requests;
-  /// Newest digest of each gateway's lifetime.
+  /// Incarnation of each gateway and the sequence number of its newest digest.
   std::map<InstanceName, std::pair<Incarnation, std::uint64_t>> digests;
+  /// Prompts sent since the last digest.
   std::vector<RoutedPrompt> routed;
   std::size_t listedGateways = 1;
   std::size_t cells = 1;
@@ -128,9 +135,9 @@
   bool stopping = false;
   bool accepting = true;
   StopSchedule stopSchedule;
-  SuspensionWatch suspensions;
-  Timer tendTimer;
-  Timer sweepTimer;
+  SuspensionWatch suspensionDetector;
+  Timer maintenanceTimer;
+  Timer destroyTimer;
   Timer stopTimer;
 };
 
--- a/dogwoodvale/src/Gateway/GatewayLog.cpp
+++ b/dogwoodvale/src/Gateway/GatewayLog.cpp
@@ -5,7 +5,7 @@
 namespace {
 
 std::string_view
-EndOf(const GatewayOutcome& aOutcome)
+EndName(const GatewayOutcome& aOutcome)
 {
   if (aOutcome.complete) {
     return "complete";
@@ -51,7 +51,7 @@
   Log(LogLevel::Info,
       "request",
       "id",
-      admitted.envelope.attemptId,
+      admitted.callerMetadata.attemptId,
       "fingerprint",
       FingerprintText(admitted.fingerprint),
       "route",
@@ -67,7 +67,7 @@
       "status",
       outcome.status,
       "end",
-      EndOf(outcome),
+      EndName(outcome),
       "reason",
       outcome.error ? outcome.error->detail : "",
       "run",
@@ -95,7 +95,7 @@
       "expected_ms",
       WholeMillis(placement.firstToken),
       "first_ms",
-      WholeMillis(outcome.firstSign),
+      WholeMillis(outcome.firstResponse),
       "gap_ms",
       WholeMillis(outcome.longestGap),
       "total_ms",
@@ -113,7 +113,7 @@
   Log(LogLevel::Info,
       "attempt_failed",
       "id",
-      aRequest.Admitted().envelope.attemptId,
+      aRequest.Admitted().callerMetadata.attemptId,
       "fingerprint",
       FingerprintText(aRequest.Admitted().fingerprint),
       "instance",
--- a/dogwoodvale/src/Gateway/GatewayLog.h
+++ b/dogwoodvale/src/Gateway/GatewayLog.h
@@ -7,31 +7,36 @@
 
 namespace dogwoodvale {
 
-/// The lines by which a failed request is explained, see docs/OPERATIONS.md.
+/// Log lines about requests and their failed attempts, see docs/OPERATIONS.md.
 
-/// A request was refused before it had a server.
+/// Logs a request that was refused on admission, before it was placed.
 void
 LogRefusal(const HttpRequest& aRequest,
            const RequestError& aError,
            std::string_view aId,
            Epoch aVersion);
 
-/// A request has ended.
-/// \param aListAge of the list of backend servers.
+/// Logs the end of a request.
+/// \param aListAge age of the list of backend servers.
 void
 LogRequestEnd(const GatewayRequest& aRequest, Duration aListAge);
 
-/// One server failed or refused a request.
+/// An attempt in which a server failed or refused a request.
 struct FailedAttempt
 {
+  /// See AttemptFailureName(), or "deadline".
   std::string_view result;
   std::string_view reason;
-  /// What is done about it.
+  /// The reaction: "retry", "resume" or "give_up".
   std::string_view next;
+  /// Time since the attempt was sent.
   Duration spent{ 0 };
+  /// Time until the request's deadline.
   Duration left{ 0 };
 };
 
+/// Logs a failed attempt.
+/// \param aListAge age of the list of backend servers.
 void
 LogFailedAttempt(const GatewayRequest& aRequest,
                  const FailedAttempt& aFailed,
--- a/dogwoodvale/src/Gateway/GatewayMetrics.cpp
+++ b/dogwoodvale/src/Gateway/GatewayMetrics.cpp
@@ -5,16 +5,17 @@
 GatewayMetrics::GatewayMetrics()
   : refusals(this->registry.AddCounter<ReasonLabels>(
       "gateway_refusals_total",
-      "Requests refused before they had a route."))
+      "Requests refused on admission, by error code."))
   , prompts(this->registry.AddCounter<ReasonLabels>(
       "gateway_prompts_total",
-      "Prompts by what was decided of them; \"fetch\": parts were to be "
-      "copied from another server's cache."))
-  , gauges(this->registry.AddGauge<ReasonLabels>("gateway_state",
-                                                 "The gateway's state now."))
-  , droppedLines(
-      this->registry.AddCounter("log_lines_dropped_total",
-                                "Log lines that their reader did not take."))
+      "Prompts by expected timeliness; \"fetch\": a prefix was to be copied "
+      "from another server's cache."))
+  , gauges(
+      this->registry.AddGauge<ReasonLabels>("gateway_state",
+                                            "Current state of the gateway."))
+  , droppedLines(this->registry.AddCounter(
+      "log_lines_dropped_total",
+      "Log lines dropped because the reader was too slow."))
 {
   this->registry.AddSource(this->classes);
   this->registry.AddSource(this->customers);
@@ -26,7 +27,7 @@
   const GatewayOutcome& outcome = aRequest.Outcome();
   const HostRoute& route = *aRequest.Admitted().route;
   const Duration reached =
-    route.kind == RouteKind::Streaming ? outcome.firstSign : outcome.total;
+    route.kind == RouteKind::Streaming ? outcome.firstResponse : outcome.total;
   return outcome.complete && reached <= route.target;
 }
 
@@ -37,8 +38,8 @@
   const AdmittedRequest& admitted = aRequest.Admitted();
   ClassMetrics& metrics = this->classes.Of(
     { admitted.service->name, ClassName(admitted.route->name) });
-  if (outcome.firstSign > Duration::zero()) {
-    metrics.firstToken.Record(outcome.firstSign);
+  if (outcome.firstResponse > Duration::zero()) {
+    metrics.firstToken.Record(outcome.firstResponse);
   }
   metrics.total.Record(outcome.total);
   if (outcome.placement.firstToken > Duration::zero()) {
@@ -59,7 +60,7 @@
   metrics.missed += attained ? 0 : 1;
   CustomerSample sample;
   sample.total = outcome.total;
-  sample.firstToken = outcome.firstSign;
+  sample.firstToken = outcome.firstResponse;
   sample.tokens = outcome.events;
   sample.succeeded = outcome.complete;
   sample.attained = attained;
--- a/dogwoodvale/src/Gateway/GatewayMetrics.h
+++ b/dogwoodvale/src/Gateway/GatewayMetrics.h
@@ -8,7 +8,7 @@
 
 namespace dogwoodvale {
 
-/// Gauges that others count, set before each rendering.
+/// Gauge values collected from other classes before each rendering.
 struct GatewayGauges
 {
   std::size_t requests = 0;
@@ -17,41 +17,45 @@
   std::uint64_t digestsRefused = 0;
   /// Backend servers reserved for interactive requests, of all services.
   std::size_t reserved = 0;
-  /// Backend servers that have asked this gateway for rest.
+  /// Backend servers that this gateway sends nothing until their back-off ends.
   std::size_t resting = 0;
-  /// Backend servers that name the rate that they take.
+  /// Backend servers that limit the rate of requests.
   std::size_t rateLimited = 0;
-  /// Entries of backend servers that could not be read.
+  /// Store entries of backend servers that could not be parsed.
   std::size_t instancesRejected = 0;
-  /// Backend servers that ended while they ran something, since the start.
+  /// Backend servers that exited with requests in flight, since the start.
   std::uint64_t serversCrashed = 0;
-  /// Requests that were under way there, and those kept from servers.
+  /// Requests suspected of crashing servers, and those in quarantine.
   std::size_t suspects = 0;
   std::size_t quarantined = 0;
-  /// The usage duty: whether it is held here, and windows since the start.
+  /// Whether this gateway is the one that reports usage, and the windows that
+  /// it has reported: accepted and left out since the start, and the backlog.
   bool holdsUsageDuty = false;
   std::uint64_t usageAccepted = 0;
   std::uint64_t usageLeftOut = 0;
   std::size_t usageBacklog = 0;
+  /// Version of the routes in force.
   Epoch version = 0;
-  /// The newest that is known of, and since when it is not in force here.
+  /// The newest known version, and for how long it has not been in force here.
   Epoch newestVersion = 0;
   Duration behindFor{ 0 };
   std::uint64_t routesBytesRead = 0;
+  /// Age of the list of backend servers, and of the routes.
   Duration listAge{ 0 };
   Duration routesAge{ 0 };
 };
 
-/// What a gateway shows at /metrics: how each route and the busiest customers
-/// were served, and what was refused before it had a route.
+/// The metrics of a gateway at /metrics: per route, per busiest customer, and
+/// the requests refused on admission.
 class GatewayMetrics
 {
 public:
   GatewayMetrics();
 
   void Record(const GatewayRequest& aRequest);
-  /// A request was refused before it had a route.
+  /// Counts a request that was refused on admission.
   void CountRefusal(const RequestError& aError);
+  /// \return the metrics in the Prometheus text format.
   std::string Render(const GatewayGauges& aGauges,
                      const CallerServer& aCallers);
 
@@ -62,13 +66,15 @@
   CustomerSketch customers;
   MetricsRegistry registry;
   CounterFamily<ReasonLabels>& refusals;
-  /// Prompts by Timeliness, and those of which parts were to be copied.
+  /// Prompts by Timeliness, and those with a prefix to be copied from another
+  /// server's cache.
   CounterFamily<ReasonLabels>& prompts;
   GaugeFamily<ReasonLabels>& gauges;
   CounterFamily<NoLabels>& droppedLines;
 };
 
-/// Whether an answer came whole and within its route's target.
+/// Whether the answer was complete and within its route's latency target: the
+/// first response for a stream, else the whole answer.
 bool
 MeetsTarget(const GatewayRequest& aRequest);
 
--- a/dogwoodvale/src/Gateway/GatewayOperators.cpp
+++ b/dogwoodvale/src/Gateway/GatewayOperators.cpp
@@ -133,7 +133,9 @@
     return OperatorHandler::Other(aRequest);
   }
   if (!this->peers->IsProven(aRequest.path)) {
-    return { kHttpForbidden, "text/plain; charset=utf-8", "no proof\n" };
+    return { kHttpForbidden,
+             "text/plain; charset=utf-8",
+             "missing or invalid proof\n" };
   }
   auto document = this->DocumentAt(path);
   if (!document) {
--- a/dogwoodvale/src/Gateway/GatewayRequest.cpp
+++ b/dogwoodvale/src/Gateway/GatewayRequest.cpp
@@ -10,10 +10,12 @@
 
 namespace {
 
-/// The least time in which another attempt can still be of use.
-constexpr Duration kLeastUseful = milliseconds(20);
-/// What must not be repeated goes only on connections used this lately.
-constexpr Duration kFreshForOnce = milliseconds(500);
+/// With less time left until the deadline no further attempt is made.
+constexpr Duration kMinUsefulTime = milliseconds(20);
+/// Non-idempotent requests use only connections idle for less than this: a
+/// server may be closing an older one, and a request lost that way can't be
+/// retried.
+constexpr Duration kMaxIdleForNonIdempotent = milliseconds(500);
 
 } // namespace
 
@@ -25,10 +27,10 @@
   , admitted(std::move(aAdmitted))
   , accepted(Now())
   , deadline(aHost.Loop(), [this] { this->OnDeadline(); })
-  , waiting(aHost.Loop(), [this] { this->TryNext(); })
+  , suspectTimer(aHost.Loop(), [this] { this->TryNext(); })
 {
   const Duration limit =
-    std::min(this->admitted.envelope.timeLimit.value_or(Duration::max()),
+    std::min(this->admitted.callerMetadata.timeLimit.value_or(Duration::max()),
              this->GetRoute().timeout);
   this->deadlineAt = this->accepted + limit;
 }
@@ -52,18 +54,18 @@
   return std::max(Between(aNow, this->deadlineAt), Duration::zero());
 }
 
-// Sending.
+// Placement and sending.
 
 PlacementRequest
-GatewayRequest::ToPlace(TimePoint aNow) const
+GatewayRequest::MakePlacementRequest(TimePoint aNow) const
 {
   PlacementRequest request{ this->admitted.demand, this->admitted.places };
   request.target = this->GetRoute().target;
   request.spent = Between(this->accepted, aNow);
-  request.outputTokens = this->admitted.envelope.maxOutputTokens;
+  request.outputTokens = this->admitted.callerMetadata.maxOutputTokens;
   request.isFirst = this->outcome.attempts == 0;
-  request.hasBegun = this->streamBegun;
-  request.wasRead = this->reads > 0;
+  request.hasBegun = this->streamStarted;
+  request.wasRead = this->timesSent > 0;
   return request;
 }
 
@@ -73,14 +75,15 @@
   CrashGuard& guard = this->host.Crashes();
   const RequestFingerprint request = this->admitted.fingerprint;
   if (guard.IsQuarantined(request)) {
-    this->GiveUp(ErrorCode::Quarantined,
-                 "it crashes the backend servers that run it");
+    this->GiveUp(
+      ErrorCode::Quarantined,
+      "it is quarantined: it crashes the backend servers that run it");
     return false;
   }
-  const std::optional<Duration> wait = this->copyWait.Next(
+  const std::optional<Duration> wait = this->suspectWait.Next(
     guard, request, this->outcome.attempts == 0, aNow, this->host.Random());
   if (wait) {
-    this->waiting.StartOnce(*wait);
+    this->suspectTimer.StartOnce(*wait);
   }
   return !wait;
 }
@@ -97,7 +100,7 @@
     *this->admitted.service, this->admitted.demand, this->excluded, now);
   const std::optional<Placement> placed =
     this->host.RequestPlacer().Place(candidates,
-                                     this->ToPlace(now),
+                                     this->MakePlacementRequest(now),
                                      pool.FlowOf(this->admitted.service->name),
                                      this->host.Random());
   if (!placed) {
@@ -109,7 +112,9 @@
   this->outcome.cachedTokens = server.cachedTokens;
   this->outcome.placement = *placed;
   if (placed->timeliness == Timeliness::Hopeless) {
-    this->GiveUp(ErrorCode::QueueFull, "all servers are behind", placed->wait);
+    this->GiveUp(ErrorCode::QueueFull,
+                 "every server's queue is too long for the latency target",
+                 placed->wait);
     return;
   }
   BackendClient* client = pool.Acquire(server.name, this->admitted.demand, now);
@@ -125,31 +130,32 @@
 {
   DirectAttempt::Plan plan;
   plan.instance = aInstance;
-  plan.attemptId = this->admitted.envelope.attemptId;
+  plan.attemptId = this->admitted.callerMetadata.attemptId;
   plan.expectsStream = this->GetRoute().kind == RouteKind::Streaming;
-  plan.resumeAfter = this->delivered;
-  plan.patience =
+  plan.resumeAfter = this->lastDeliveredEvent;
+  plan.timeouts =
     PatienceFor(this->GetRoute(), this->outcome.attempts, this->TimeLeft(aNow));
   if (!this->MayRepeat()) {
-    plan.freshness = kFreshForOnce;
+    plan.maxConnectionIdle = kMaxIdleForNonIdempotent;
   }
   return plan;
 }
 
 BackendOrder
-GatewayRequest::OrderFor(const InstanceName& aInstance, TimePoint aNow) const
+GatewayRequest::MetadataFor(const InstanceName& aInstance, TimePoint aNow) const
 {
   const BackendPool& pool = this->host.Backends();
-  BackendOrder order;
-  order.server = pool.ServerOf(aInstance);
-  order.customer = this->admitted.customer;
-  order.timeLeft = this->TimeLeft(aNow);
-  order.place = this->outcome.placement.place;
-  order.resumeAfter = this->delivered;
+  BackendOrder metadata;
+  metadata.server = pool.ServerOf(aInstance);
+  metadata.customer = this->admitted.customer;
+  metadata.timeLeft = this->TimeLeft(aNow);
+  metadata.place = this->outcome.placement.place;
+  metadata.resumeAfter = this->lastDeliveredEvent;
   if (this->outcome.placement.fetch) {
-    order.fetchFrom = pool.AddressOf(this->outcome.placement.fetch->instance);
+    metadata.fetchFrom =
+      pool.AddressOf(this->outcome.placement.fetch->instance);
   }
-  return order;
+  return metadata;
 }
 
 void
@@ -159,10 +165,11 @@
   const TimePoint now = Now();
   const Placement& placement = this->outcome.placement;
   BackendPool& pool = this->host.Backends();
-  this->sent = Sent{ .instance = aCandidate.name,
-                     .work = placement.work,
-                     .at = now,
-                     .hadRoom = aCandidate.work.requests < aCandidate.slots };
+  this->sent =
+    Sent{ .instance = aCandidate.name,
+          .work = placement.work,
+          .at = now,
+          .hadFreeSlot = aCandidate.work.requests < aCandidate.slots };
   pool.OnSent(aCandidate.name, placement.work, this->admitted.demand.steps);
   const std::uint32_t longTokens =
     this->admitted.demand.isLong
@@ -176,14 +183,14 @@
                                     this->PlanFor(aCandidate.name, now),
                                     *this);
   this->host.Crashes().OnSent(this->admitted.fingerprint);
-  const BackendOrder order = this->OrderFor(aCandidate.name, now);
+  const BackendOrder metadata = this->MetadataFor(aCandidate.name, now);
   ++this->outcome.attempts;
   this->attempt->Start(
     aClient,
-    this->host.Ports().backends->Compose(this->exchange->Request(), order));
+    this->host.Ports().backends->Compose(this->exchange->Request(), metadata));
 }
 
-// The answer.
+// Answers of the backend server.
 
 AttemptHealth
 GatewayRequest::HealthOf(const InstanceName& aInstance) const
@@ -192,41 +199,41 @@
 }
 
 void
-GatewayRequest::NoteFirstSign(TimePoint aNow)
+GatewayRequest::RecordFirstResponse(TimePoint aNow)
 {
-  if (!this->sent || this->sent->firstSign) {
+  if (!this->sent || this->sent->hasResponded) {
     return;
   }
-  this->sent->firstSign = true;
+  this->sent->hasResponded = true;
   const Duration latency = Between(this->sent->at, aNow);
   PrefillFlow& flow =
     this->host.Backends().FlowOf(this->admitted.service->name);
   const std::uint64_t read =
     this->outcome.placement.prefillAhead + this->sent->work.Prefill();
   this->HealthOf(this->sent->instance)
-    .OnFirstSign(latency, this->admitted.demand.promptTokens, read, flow);
+    .OnFirstResponse(latency, this->admitted.demand.promptTokens, read, flow);
   flow.OnFirstToken(this->sent->instance, read, latency);
   BackendWork prefill;
   prefill.prefillTokens = this->sent->work.prefillTokens;
   this->host.Backends().OnDone(this->sent->instance, prefill);
   this->sent->work -= prefill;
-  if (this->outcome.firstSign == Duration::zero()) {
-    this->outcome.firstSign = Between(this->accepted, aNow);
+  if (this->outcome.firstResponse == Duration::zero()) {
+    this->outcome.firstResponse = Between(this->accepted, aNow);
   }
 }
 
 void
-GatewayRequest::NoteBegan(TimePoint aBegan)
+GatewayRequest::RecordExecutionStart(TimePoint aStarted)
 {
-  if (!std::exchange(this->hasRun, true)) {
-    this->host.OnBegan(this->admitted.customer, aBegan);
+  if (!std::exchange(this->hasStarted, true)) {
+    this->host.OnExecutionStarted(this->admitted.customer, aStarted);
   }
 }
 
 void
-GatewayRequest::NoteGap(TimePoint aNow)
+GatewayRequest::RecordGap(TimePoint aNow)
 {
-  if (this->streamBegun) {
+  if (this->streamStarted) {
     this->outcome.longestGap =
       std::max(this->outcome.longestGap, Between(this->lastEventsAt, aNow));
   }
@@ -236,7 +243,8 @@
 void
 GatewayRequest::OnAttemptHead(const BackendAnswer& aHead)
 {
-  // Another server that has the address now speaks for itself only.
+  // If another instance has taken over the address, the notice does not apply
+  // to the instance that the request was meant for.
   if (!aHead.wrongInstance) {
     this->host.Backends().OnNotice(this->sent->instance, aHead.notice, Now());
   }
@@ -246,16 +254,16 @@
 GatewayRequest::OnAttemptEvents(std::string_view aBytes)
 {
   const TimePoint now = Now();
-  this->NoteFirstSign(now);
-  this->NoteBegan(now);
-  this->NoteGap(now);
-  if (!this->streamBegun) {
-    this->streamBegun = true;
+  this->RecordFirstResponse(now);
+  this->RecordExecutionStart(now);
+  this->RecordGap(now);
+  if (!this->streamStarted) {
+    this->streamStarted = true;
     this->outcome.status = this->attempt->Answer().status;
     this->exchange->StartStream(this->outcome.status, this->attempt->Headers());
   }
   ++this->outcome.events;
-  this->delivered = this->attempt->LastEvent();
+  this->lastDeliveredEvent = this->attempt->LastEvent();
   this->exchange->SendPart(aBytes);
   if (this->exchange != nullptr && this->attempt != nullptr &&
       this->exchange->PendingBytes() > kCallerBufferBytes) {
@@ -283,87 +291,93 @@
 void
 GatewayRequest::OnAttemptAnswer(std::string_view aBody)
 {
-  this->NoteFirstSign(Now());
+  this->RecordFirstResponse(Now());
   const BackendAnswer& answer = this->attempt->Answer();
   if (!answer.isGenuine) {
-    this->Conclude(AttemptFailure::Garbled, "an answer with no proof");
+    this->HandleFailure(AttemptFailure::Garbled,
+                        "the answer lacks proof that a backend server sent it");
     return;
   }
-  // A whole answer comes when the run is over.
-  this->NoteBegan(this->sent->at);
-  // A server's own failure may have come before the request was run.
+  // A whole answer arrives after the run, so the time of sending stands for its
+  // start.
+  this->RecordExecutionStart(this->sent->at);
+  // Only a success shows that the request ran without crashing the server; an
+  // error may have been returned before it ran.
   if (IsSuccess(answer.status)) {
     this->host.Crashes().OnAnswered(this->admitted.fingerprint);
   }
-  // A stream has begun with another head, so this can't be passed on any more.
-  if (this->streamBegun) {
-    this->Conclude(AttemptFailure::Garbled, "no stream where one was to go on");
+  // The caller already has the head of a stream, so a whole answer can't be
+  // forwarded.
+  if (this->streamStarted) {
+    this->HandleFailure(AttemptFailure::Garbled,
+                        "expected a resumed stream, got a whole answer");
     return;
   }
-  if (!this->IsToBePassedOn(answer)) {
-    this->Conclude(AttemptFailure::Lost, "the server failed");
+  if (!this->ShouldForward(answer)) {
+    this->HandleFailure(AttemptFailure::Lost, "the server failed");
     return;
   }
-  this->PassOn(aBody);
+  this->ForwardAnswer(aBody);
 }
 
 bool
-GatewayRequest::IsToBePassedOn(const BackendAnswer& aAnswer) const
+GatewayRequest::ShouldForward(const BackendAnswer& aAnswer) const
 {
-  // A server's own word that promises "not run" without being one: only this
-  // gateway's caller would take it for a promise.
-  if (IsPromise(aAnswer.status)) {
+  // To the caller these statuses mean "not run", but the server has not stated
+  // that it did not run the request.
+  if (ImpliesNotRun(aAnswer.status)) {
     return false;
   }
   if (!IsServerError(aAnswer.status)) {
     return true;
   }
   return !this->MayRepeat() ||
-         this->reads + 1 >= this->GetRoute().maxAttempts ||
+         this->timesSent + 1 >= this->GetRoute().maxAttempts ||
          !this->host.RetriesOf(this->admitted.service->name).HasRoom(Now());
 }
 
 void
-GatewayRequest::PassOn(std::string_view aBody)
+GatewayRequest::ForwardAnswer(std::string_view aBody)
 {
   this->outcome.status = this->attempt->Answer().status;
   this->outcome.complete = IsSuccess(this->outcome.status);
   if (!this->outcome.complete) {
-    this->outcome.error = RequestError{ ErrorCode::BackendFailed,
-                                        Disposition::MayHaveRun,
-                                        "the server's own failure",
-                                        milliseconds(0) };
+    this->outcome.error =
+      RequestError{ ErrorCode::BackendFailed,
+                    Disposition::MayHaveRun,
+                    "the server answered with an error status",
+                    milliseconds(0) };
   }
   this->exchange->Respond(
     this->outcome.status, this->attempt->Headers(), aBody);
   this->Finish();
 }
 
-// Failures.
+// Failed attempts and the end of the request.
 
 void
 GatewayRequest::OnAttemptFailed(AttemptFailure aFailure,
                                 std::string_view aReason)
 {
-  this->Conclude(aFailure, aReason);
+  this->HandleFailure(aFailure, aReason);
 }
 
 void
-GatewayRequest::Conclude(AttemptFailure aFailure, std::string_view aReason)
+GatewayRequest::HandleFailure(AttemptFailure aFailure, std::string_view aReason)
 {
   const TimePoint now = Now();
   const InstanceName instance = this->sent->instance;
-  this->HealthOf(instance).OnFailed(aFailure, this->sent->hadRoom);
+  this->HealthOf(instance).OnFailed(aFailure, this->sent->hadFreeSlot);
   if (aFailure == AttemptFailure::WrongInstance) {
     this->host.Backends().OnWrongInstance(instance);
     this->host.Crashes().OnReplaced(instance);
   }
-  if (const auto broken = this->attempt->Break(now)) {
+  if (const auto broken = this->attempt->ConnectionBreak(now)) {
     this->host.Crashes().OnBroken(
       instance, this->admitted.fingerprint, *broken);
   }
   this->mayHaveRun = this->mayHaveRun || !IsNotRun(aFailure);
-  this->reads += aFailure == AttemptFailure::NotSent ? 0 : 1;
+  this->timesSent += aFailure == AttemptFailure::NotSent ? 0 : 1;
   this->excluded.push_back(instance);
   const RetryVerdict verdict = this->Decide(aFailure, now);
   this->LogAttempt(AttemptFailureName(aFailure),
@@ -386,21 +400,22 @@
 GatewayRequest::Decide(AttemptFailure aFailure, TimePoint aNow)
 {
   RetryWindow& retries = this->host.RetriesOf(this->admitted.service->name);
-  // What was never written reached no server, so it costs none of them a
-  // retry.
+  // A request of which no byte was written puts no load on any server, so it is
+  // not charged to the retry budget.
   const bool isFree = aFailure == AttemptFailure::NotSent;
   AttemptOutcome ended;
   ended.disposition =
     this->mayHaveRun ? Disposition::MayHaveRun : Disposition::NotRun;
   ended.idempotent = this->MayRepeat();
   ended.deliveredTokens = this->outcome.events;
-  ended.streaming = this->streamBegun;
-  ended.canResume = this->GetRoute().isResumable && this->delivered.has_value();
+  ended.streaming = this->streamStarted;
+  ended.canResume =
+    this->GetRoute().isResumable && this->lastDeliveredEvent.has_value();
   RetryAllowance allowance;
   allowance.hasBudget = isFree || retries.HasRoom(aNow);
   allowance.deadlineLeft = this->TimeLeft(aNow);
-  allowance.leastUseful = kLeastUseful;
-  allowance.attempts = this->reads;
+  allowance.leastUseful = kMinUsefulTime;
+  allowance.attempts = this->timesSent;
   allowance.maxAttempts = this->GetRoute().maxAttempts;
   const RetryVerdict verdict = DecideRetry(ended, allowance);
   if (verdict != RetryVerdict::GiveUp && !isFree) {
@@ -417,7 +432,7 @@
   this->GiveUp(ErrorCode::NoBackendServer,
                wait > Duration::zero()
                  ? "its backend servers take no more for now"
-                 : "no backend server takes it",
+                 : "no backend server can take the request",
                wait);
 }
 
@@ -431,8 +446,8 @@
   error.disposition =
     this->mayHaveRun ? Disposition::MayHaveRun : Disposition::NotRun;
   error.detail = aReason;
-  // Without a word that it may have run, a caller would take a failure of what
-  // was sent for one of what was not.
+  // Other codes imply that the request has not run; a caller would then repeat
+  // one that may have.
   if (this->mayHaveRun && aCode != ErrorCode::DeadlineExceeded) {
     error.code = ErrorCode::BackendFailed;
   }
@@ -444,8 +459,9 @@
         : DrawRetryAfter(aWait, this->GetRoute().target, this->host.Random());
   }
   this->outcome.error = error;
-  if (this->streamBegun) {
-    // Only a connection that breaks tells the caller that the stream is cut.
+  if (this->streamStarted) {
+    // The head is already sent; only closing the connection tells the caller
+    // that the stream is incomplete.
     this->exchange.reset();
     this->Finish();
     return;
@@ -460,7 +476,7 @@
 void
 GatewayRequest::OnDeadline()
 {
-  // What was sent may run on until its connection closes.
+  // A request in flight may run until its connection is closed.
   this->mayHaveRun = this->mayHaveRun || this->attempt != nullptr;
   if (this->attempt != nullptr) {
     this->LogAttempt("deadline", "the time limit passed", "give_up");
@@ -498,19 +514,19 @@
   }
   this->done = true;
   this->deadline.Stop();
-  this->waiting.Stop();
+  this->suspectTimer.Stop();
   this->outcome.total = Between(this->accepted, Now());
   if (this->outcome.complete && this->sent) {
     BackendPool& pool = this->host.Backends();
     const ServiceName& service = this->admitted.service->name;
     pool.FlowOf(service).OnStay(this->outcome.total);
-    if (this->streamBegun) {
+    if (this->streamStarted) {
       pool.PausesOf(service).OnStream(this->GetRoute().targetGap,
                                       this->outcome.longestGap);
     }
     this->HealthOf(this->sent->instance).OnAnswered();
   }
-  // Before the attempt goes: the log line names its server.
+  // Before EndAttempt(), since the log line names the server of the attempt.
   this->host.OnDone(*this);
   this->EndAttempt();
 }
--- a/dogwoodvale/src/Gateway/GatewayRequest.h
+++ b/dogwoodvale/src/Gateway/GatewayRequest.h
@@ -23,22 +23,26 @@
   bool complete = false;
   bool abandoned = false;
   std::optional<RequestError> error;
-  /// The last server it was sent to.
+  /// The server of the last attempt.
   InstanceName instance;
-  /// What the last choice went by; tokens that the server probably has in its
-  /// cache.
+  /// The last placement decision, with the estimates behind it.
   Placement placement;
+  /// Prompt tokens expected in the cache of the server placed last.
   std::uint32_t cachedTokens = 0;
-  Duration firstSign{ 0 };
-  /// The longest time from one part of a stream to the next.
+  /// From acceptance to the first part of an answer; 0 if none came.
+  Duration firstResponse{ 0 };
+  /// The longest time between two consecutive parts of a stream.
   Duration longestGap{ 0 };
+  /// From acceptance to the end.
   Duration total{ 0 };
   std::uint32_t attempts = 0;
+  /// How often the stream was resumed on another server.
   std::uint32_t resumes = 0;
+  /// Chunks of one or more whole events passed on to the caller.
   std::uint64_t events = 0;
 };
 
-/// What a request needs of its gateway.
+/// The services of the gateway that a request uses.
 class GatewayRequestHost
 {
 public:
@@ -52,21 +56,23 @@
   virtual std::mt19937_64& Random() = 0;
   /// Age of the list of backend servers, for logs.
   virtual Duration ListAge() const = 0;
-  /// For the other gateways to know.
-  /// \param aLongTokens what the server has to read of a long prompt.
+  /// A request was sent; the host announces this to the other gateways.
+  /// \param aLongTokens prompt tokens that the server has to prefill if the
+  /// prompt is long; 0 for other prompts.
   virtual void OnSent(const InstanceName& aInstance,
                       std::span<const PromptStep> aSteps,
                       std::uint32_t aLongTokens) = 0;
-  /// A server began to run it, the first time.
-  virtual void OnBegan(const CustomerName& aCustomer, TimePoint aBegan) = 0;
+  /// A server started to run the request; called once per request.
+  virtual void OnExecutionStarted(const CustomerName& aCustomer,
+                                  TimePoint aStarted) = 0;
   /// The request is done; the host destroys it later, not in this call.
   virtual void OnDone(GatewayRequest& aRequest) = 0;
 };
 
 /// One caller's request from its acceptance to its final answer.
 ///
-/// What may be sent again is decided by DecideRetry() alone; this class finds
-/// out the facts and carries the verdict out.
+/// DecideRetry() alone decides whether a request is sent again; this class
+/// collects its inputs and carries out the verdict.
 class GatewayRequest final
   : public CallerExchangeHandler
   , public AttemptListener
@@ -93,7 +99,8 @@
   void OnAttemptFailed(AttemptFailure aFailure,
                        std::string_view aReason) override;
 
-  /// Answer bytes that may wait for a slow caller before reading stops.
+  /// Bytes buffered for a slow caller above which reading from the server
+  /// pauses.
   static constexpr std::size_t kCallerBufferBytes = 256U << 10U;
 
 private:
@@ -102,39 +109,43 @@
     InstanceName instance;
     BackendWork work;
     TimePoint at{};
-    /// Fewer requests than slots were there, as far as was known.
-    bool hadRoom = false;
-    bool firstSign = false;
+    /// The server had fewer known requests than slots when it was chosen.
+    bool hadFreeSlot = false;
+    bool hasResponded = false;
   };
 
   const HostRoute& GetRoute() const { return *this->admitted.route; }
   Duration TimeLeft(TimePoint aNow) const;
   bool MayRepeat() const { return this->GetRoute().MayRepeat(); }
-  /// Sends it to the next server, unless it has to wait or is refused.
+  /// Places the request and sends it, unless it has to wait or is refused.
   void TryNext();
-  /// Whether it may be sent now by what is known of requests that crash
-  /// servers; else it waits or has been given up.
+  /// Checks the request against those suspected of crashing servers.
+  /// \return whether it may be sent now; if not, it waits for a timer or has
+  /// been given up.
   bool PassesCrashGuard(TimePoint aNow);
-  PlacementRequest ToPlace(TimePoint aNow) const;
+  PlacementRequest MakePlacementRequest(TimePoint aNow) const;
   void SendTo(const DirectCandidate& aCandidate, BackendClient& aClient);
-  BackendOrder OrderFor(const InstanceName& aInstance, TimePoint aNow) const;
+  BackendOrder MetadataFor(const InstanceName& aInstance, TimePoint aNow) const;
   DirectAttempt::Plan PlanFor(const InstanceName& aInstance,
                               TimePoint aNow) const;
   AttemptHealth HealthOf(const InstanceName& aInstance) const;
-  void NoteFirstSign(TimePoint aNow);
-  void NoteBegan(TimePoint aBegan);
-  void NoteGap(TimePoint aNow);
+  void RecordFirstResponse(TimePoint aNow);
+  void RecordExecutionStart(TimePoint aStarted);
+  void RecordGap(TimePoint aNow);
   void EndAttempt();
-  /// The attempt failed, or its answer is not one to pass on: what next.
-  void Conclude(AttemptFailure aFailure, std::string_view aReason);
+  /// Retries, resumes or gives up after a failed attempt or an answer that must
+  /// not be forwarded.
+  void HandleFailure(AttemptFailure aFailure, std::string_view aReason);
   RetryVerdict Decide(AttemptFailure aFailure, TimePoint aNow);
-  bool IsToBePassedOn(const BackendAnswer& aAnswer) const;
-  void PassOn(std::string_view aBody);
-  /// \param aWait until a server takes such a request, as far as is known.
+  bool ShouldForward(const BackendAnswer& aAnswer) const;
+  void ForwardAnswer(std::string_view aBody);
+  /// Ends the request with an error.
+  /// \param aWait estimated time until a server accepts such a request; the
+  /// Retry-After of the error is drawn from it.
   void GiveUp(ErrorCode aCode,
               std::string_view aReason,
               Duration aWait = Duration::zero());
-  /// No server takes it now.
+  /// Ends the request because no server accepts it now.
   void GiveUpUnplaced();
   void OnDeadline();
   void Finish();
@@ -150,17 +161,19 @@
   Timer deadline;
   std::unique_ptr<DirectAttempt> attempt;
   std::optional<Sent> sent;
-  /// Servers that failed or refused it.
+  /// Servers that failed or refused the request; not tried again.
   std::vector<InstanceName> excluded;
-  /// Servers that read it.
-  std::uint32_t reads = 0;
+  /// Failed attempts in which the request may have reached a server.
+  std::uint32_t timesSent = 0;
+  /// A server may have run the request, or part of it.
   bool mayHaveRun = false;
-  bool hasRun = false;
-  bool streamBegun = false;
-  std::optional<std::uint64_t> delivered;
+  bool hasStarted = false;
+  bool streamStarted = false;
+  /// Id of the last event passed on to the caller.
+  std::optional<std::uint64_t> lastDeliveredEvent;
   TimePoint lastEventsAt{};
-  CopyWait copyWait;
-  Timer waiting;
+  CopyWait suspectWait;
+  Timer suspectTimer;
   GatewayOutcome outcome;
   bool done = false;
 };
--- a/dogwoodvale/src/Gateway/Ports.h
+++ b/dogwoodvale/src/Gateway/Ports.h
@@ -16,123 +16,125 @@
 
 namespace dogwoodvale {
 
-/// Names one incarnation of a backend server that may start again under the
-/// name that it had.
+/// Names one incarnation of a backend server, which may restart under the same
+/// name.
 ///
-/// All that is known of a server is kept under this name: a restarted one has
-/// an empty cache, nothing under way, and says nothing of leaving. Under the
-/// server's own name, one that drained and came back would never be used again,
-/// and prompts would be sent to a cache that is gone.
-/// \param aStarted 0 where the server doesn't say; the name is its own then.
+/// All state about a server is kept under this name, because a restarted server
+/// has an empty cache, no requests in flight and is not leaving. Under the
+/// server's own name, a server that drained and restarted would never be used
+/// again, and prompts would be placed by a cache that no longer exists.
+/// \param aStarted 0 if the server does not report it; the result is then
+/// \p aServer itself.
 InstanceName
 IncarnationName(std::string_view aServer, std::uint64_t aStarted);
 
-/// A backend server that is spoken to directly.
+/// A backend server that gateways connect to directly.
 struct DirectInstance
 {
-  /// One incarnation of it, see IncarnationName().
+  /// Name of this incarnation, see IncarnationName().
   InstanceName name;
-  /// What it calls itself, before and after a restart.
+  /// The server's own name, the same before and after a restart.
   InstanceName server;
-  /// Millisecond of its start by its own clock; 0 if it does not say.
+  /// Start time in milliseconds by the server's own clock; 0 if not reported.
   std::uint64_t started = 0;
   ServiceName service;
   SocketAddress address;
   DataCentreName dataCentre;
-  /// Requests that it works on at once; 0 while unknown.
+  /// Number of requests that it processes at once; 0 while unknown.
   std::uint32_t slots = 0;
-  /// It takes no new work.
+  /// It accepts no new work.
   bool leaving = false;
 
   bool operator==(const DirectInstance&) const = default;
 };
 
-/// Where the store keeps what a gateway needs to know, and in which form.
+/// Keys and format of the store's entries that a gateway reads.
 class DirectoryFormat
 {
 public:
   virtual ~DirectoryFormat() = default;
   /// Prefix of the one key that holds the routes.
   virtual std::string RoutesPrefix() const = 0;
-  /// Prefix of the keys of backend servers, one key each.
+  /// Prefix of the keys of the backend servers, one key per server.
   virtual std::string InstancesPrefix() const = 0;
-  /// \return null for a version that is not above \p aInForce; the rest of it
-  /// is not read then.
+  /// \return null if the version is not above \p aInForce, without parsing the
+  /// rest; an error for a malformed value.
   virtual absl::StatusOr<std::shared_ptr<const RouteTable>> ParseRoutes(
     std::string_view aValue,
     Epoch aInForce) const = 0;
-  /// \return an error for an entry that names no server to use, e.g. one that
-  /// something else has written there.
+  /// \return an error for an entry that describes no usable server, e.g. one
+  /// that another program has written there.
   virtual absl::StatusOr<DirectInstance> ParseInstance(
     std::string_view aKey,
     std::string_view aValue) const = 0;
 };
 
-/// What a caller's request says beside its method, path and body.
+/// The metadata in the headers of a caller's request.
 struct CallerEnvelope
 {
-  /// Names one try of the caller; empty if it names none.
+  /// Id of one attempt of the caller; empty if it sent none.
   std::string attemptId;
-  /// How long the caller waits.
+  /// How long the caller waits for the answer.
   std::optional<Duration> timeLimit;
+  /// API key.
   std::string key;
   std::uint32_t promptTokens = 0;
   std::uint32_t maxOutputTokens = 0;
-  /// The model that is to answer; empty if it names none.
+  /// The requested model; empty if none is named.
   std::string model;
   std::vector<PromptPart> prompt;
 };
 
-/// How callers speak.
+/// Reads callers' requests and writes the headers of errors for them.
 class CallerDialect
 {
 public:
   virtual ~CallerDialect() = default;
   virtual CallerEnvelope Read(const HttpRequest& aRequest) const = 0;
-  /// Headers of an answer that this process gives by itself.
+  /// Headers of an error answer that originates in this process.
   virtual std::vector<HeaderField> ErrorHeaders(
     const RequestError& aError) const = 0;
 };
 
-/// What a backend server is told beside the caller's request.
+/// What a backend server is told in addition to the caller's request.
 struct BackendOrder
 {
-  /// What the server calls itself, see DirectInstance::server.
+  /// The server's own name, see DirectInstance::server.
   InstanceName server;
   /// Empty when the request needs no key.
   CustomerName customer;
   Duration timeLeft{ 0 };
-  /// Place in the server's order of service, 0 first.
+  /// Place in the server's queue, 0 is served first.
   std::uint32_t place = 0;
-  /// The server copies what it lacks of the prompt from the cache of this one,
-  /// as far as that holds it, and reads the rest.
+  /// A server whose cache holds a prefix of the prompt; the addressed server
+  /// copies what it lacks from there and prefills the rest.
   std::optional<SocketAddress> fetchFrom;
-  /// A stream goes on after this event.
+  /// Id of the event after which the stream is to be resumed.
   std::optional<std::uint64_t> resumeAfter;
 };
 
-/// What the head of a backend server's answer says.
+/// The head of a backend server's answer.
 struct BackendAnswer
 {
   int status = 0;
   std::string attemptId;
-  /// Its word that it did not run the request and never will.
+  /// The server states that it did not run the request and never will.
   bool notRun = false;
-  /// Another instance has the address; it has not run the request.
+  /// Another instance answers at the address; it has not run the request.
   bool wrongInstance = false;
-  /// It carries the mark that only a backend server can give.
+  /// The answer carries the proof that only a backend server can create.
   bool isGenuine = false;
-  /// Empty, or the media type of the body.
+  /// Media type of the body; empty if not stated.
   std::string mediaType;
   BackpressureNotice notice;
 };
 
-/// How backend servers speak.
+/// Writes requests to backend servers and reads the heads of their answers.
 class BackendDialect
 {
 public:
   virtual ~BackendDialect() = default;
-  /// The caller's request as the backend server gets it.
+  /// The request to the backend server, made from the caller's.
   virtual HttpRequest Compose(const HttpRequest& aRequest,
                               const BackendOrder& aOrder) const = 0;
   virtual BackendAnswer ReadHead(
@@ -140,14 +142,16 @@
     std::span<const HeaderField> aHeaders) const = 0;
 };
 
-/// Everything that depends on the site a gateway runs at.
+/// Implementations of the interfaces through which a gateway uses what is
+/// specific to its site: the store, formats and protocols (ports in the sense
+/// of ports and adapters).
 struct GatewayPorts
 {
   std::unique_ptr<StoreClient> store;
   std::unique_ptr<DirectoryFormat> directory;
   std::unique_ptr<CallerDialect> callers;
   std::unique_ptr<BackendDialect> backends;
-  /// Null where no usage is to be reported.
+  /// Null if no usage is reported.
   std::unique_ptr<UsagePort> usage;
 };
 
--- a/dogwoodvale/src/Gateway/StopSchedule.h
+++ b/dogwoodvale/src/Gateway/StopSchedule.h
@@ -7,35 +7,42 @@
 
 namespace dogwoodvale {
 
-/// When a planned stop goes on: how long the balancer still sends, and by when
-/// the process has to end by itself.
+/// The steps of a planned stop: until when the balancer still sends requests,
+/// and when the gateway stops draining and ends the process.
 class StopSchedule
 {
 public:
   StopSchedule() = default;
-  /// \param aGrace from the order to stop until the process is killed.
+  /// \param aOrdered when the stop was ordered.
+  /// \param aGrace from then until the process is killed.
   StopSchedule(TimePoint aOrdered, Duration aGrace)
-    : noticedAt(aOrdered + std::min(kBalancerNotice, aGrace / 2))
-    , overAt(aOrdered + Duration(static_cast<Duration::rep>(
-                          kUsedGrace * static_cast<double>(aGrace.count()))))
+    : outOfBalancerAt(aOrdered + std::min(kBalancerRemovalTime, aGrace / 2))
+    , drainEndsAt(aOrdered +
+                  Duration(static_cast<Duration::rep>(
+                    kDrainShareOfGrace * static_cast<double>(aGrace.count()))))
   {
   }
 
-  /// Whether the balancer sends nothing new.
-  bool IsNoticed(TimePoint aNow) const { return aNow >= this->noticedAt; }
-  /// Whether what is left has to be cut.
-  bool IsOver(TimePoint aNow) const { return aNow >= this->overAt; }
+  /// Whether the balancer should have stopped sending new requests. At most
+  /// half of the grace period is allowed for that.
+  bool IsOutOfBalancer(TimePoint aNow) const
+  {
+    return aNow >= this->outOfBalancerAt;
+  }
+  /// Whether the remaining requests have to be cut off.
+  bool IsDrainOver(TimePoint aNow) const { return aNow >= this->drainEndsAt; }
 
-  /// The balancer asks once a second and takes a gateway out after two misses;
-  /// the rest covers the way there and a busy gateway.
-  static constexpr Duration kBalancerNotice = milliseconds(2600);
-  /// Part of the grace in which a stopping gateway finishes its work; the rest
-  /// is for the process to end by itself.
-  static constexpr double kUsedGrace = 0.92;
+  /// Time until the balancer has removed the gateway: it probes once a second
+  /// and removes a gateway after two failed probes; the rest covers network
+  /// latency and a busy gateway.
+  static constexpr Duration kBalancerRemovalTime = milliseconds(2600);
+  /// Share of the grace period for draining; the rest is left for the process
+  /// to exit.
+  static constexpr double kDrainShareOfGrace = 0.92;
 
 private:
-  TimePoint noticedAt{};
-  TimePoint overAt{};
+  TimePoint outOfBalancerAt{};
+  TimePoint drainEndsAt{};
 };
 
 } // namespace dogwoodvale
--- a/dogwoodvale/src/Gateway/SuspensionWatch.cpp
+++ b/dogwoodvale/src/Gateway/SuspensionWatch.cpp
@@ -19,12 +19,13 @@
 {
   const TimePoint now = Now();
   const Duration suspended = SuspendedTime();
-  // A process alone that is stopped sees the steady clock jump instead.
+  // If only the process is stopped, not the machine, the steady clock advances
+  // and the timer fires late.
   const Duration late = Between(this->lastCheck, now) - kPeriod;
   const Duration lost = std::max(suspended - this->suspendedBefore, late);
   this->suspendedBefore = suspended;
   this->lastCheck = now;
-  if (lost >= kLeastReported) {
+  if (lost >= kMinReported) {
     this->handler(lost);
   }
 }
--- a/dogwoodvale/src/Gateway/SuspensionWatch.h
+++ b/dogwoodvale/src/Gateway/SuspensionWatch.h
@@ -7,20 +7,22 @@
 
 namespace dogwoodvale {
 
-/// Notices that the whole process stood still for a while.
+/// Detects that the process was suspended for a while.
 ///
-/// The steady clock does not count time in which the machine was suspended, so
-/// what is believed looks fresh though it is old. The clock that counts since
-/// boot goes on; the two drift apart by just that time.
+/// The steady clock does not advance while the machine is suspended, so cached
+/// state looks fresh though it is old. The boot-time clock does advance; the
+/// difference between the two grows by the time of the suspension.
 class SuspensionWatch
 {
 public:
+  /// \param aLost how long the process was suspended.
   using Handler = std::function<void(Duration aLost)>;
 
   SuspensionWatch(EventLoop& aLoop, Handler aHandler);
 
-  /// Shorter ones change nothing that is believed.
-  static constexpr Duration kLeastReported = milliseconds(300);
+  /// Shorter suspensions are not reported; no cached state becomes stale in
+  /// them.
+  static constexpr Duration kMinReported = milliseconds(300);
   static constexpr Duration kPeriod = milliseconds(250);
 
 private:
@@ -29,7 +31,7 @@
   Handler handler;
   /// See SuspendedTime().
   Duration suspendedBefore{ 0 };
-  /// When the last check was due to run.
+  /// When the last check ran.
   TimePoint lastCheck;
   Timer timer;
 };
--- a/test/Gateway.cpp
+++ b/test/Gateway.cpp
@@ -45,7 +45,7 @@
 
 } // namespace
 
-TEST_CASE("a request goes to an engine as the caller sent it", "[gateway]")
+TEST_CASE("a request reaches the server as the caller sent it", "[gateway]")
 {
   PlatformSite site(1);
   Gateway& gateway = site.ReadyGateway();
@@ -67,8 +67,7 @@
   CHECK(run.deadlineMillis <= 1500);
 }
 
-TEST_CASE("what the configuration does not allow gets its own status",
-          "[gateway]")
+TEST_CASE("each violation of the configuration has its own status", "[gateway]")
 {
   PlatformSite site(1);
   Gateway& gateway = site.ReadyGateway();
@@ -81,10 +80,9 @@
   CHECK(RunCount(site) == 0);
 }
 
-// The only server drains, ends and starts again under its name. Callers would
-// get 503 for ever, as its entry was read as that of the one that left.
-TEST_CASE("a server that starts again under its name gets requests",
-          "[gateway]")
+// Guards against 503 without end: the only server drains and restarts under the
+// same name, and its entry is taken for that of the incarnation that left.
+TEST_CASE("a server restarted under the same name gets requests", "[gateway]")
 {
   PlatformSite site(1);
   Gateway& gateway = site.ReadyGateway();
@@ -106,9 +104,9 @@
   CHECK(asksUntil("200"));
 }
 
-// A caller gets 404 for a route that exists: its gateway has just started and
-// has read no configuration yet. It must say 503, "not run, come back".
-TEST_CASE("a gateway that knows no configuration refuses with 503", "[gateway]")
+// Guards against 404 for an existing route at a gateway that has just started
+// and has read no configuration. The answer must be a retryable 503.
+TEST_CASE("a gateway without a configuration refuses with 503", "[gateway]")
 {
   PlatformSite site(1);
   site.store->SetFault(Fault("busy"));
@@ -122,7 +120,7 @@
   CHECK(Has(site.Ask(gateway, "/again/x", "id-2"), "HTTP/1.1 200"));
 }
 
-TEST_CASE("a stream comes whole and in order", "[gateway]")
+TEST_CASE("a stream arrives complete and in order", "[gateway]")
 {
   PlatformSite site(1);
   Gateway& gateway = site.ReadyGateway();
@@ -133,9 +131,9 @@
   CHECK(Has(answer, "\r\n0\r\n\r\n"));
 }
 
-// A caller's stream stops after two pieces: its engine crashed. It may go on
-// at another from the last whole event, so the caller gets each piece once.
-TEST_CASE("a stream goes on at another engine after a crash", "[gateway]")
+// Guards against lost or repeated events after a server crash in mid-stream:
+// the stream resumes on another server after the last whole event.
+TEST_CASE("a stream resumes on another server after a crash", "[gateway]")
 {
   PlatformSite site(2);
   Gateway& gateway = site.ReadyGateway();
@@ -143,17 +141,18 @@
     engine->SetFault(Fault("crash_after", 2));
   }
   const std::string answer = site.Ask(gateway, "/stream/x", "id-1");
-  // Two engines may read it: pieces 1 and 2 from one, 3 and 4 from the other.
+  // Two attempts are allowed: pieces 1 and 2 come from one engine, 3 and 4 from
+  // the other.
   CHECK(Count(answer, "data: piece ") == 4);
   CHECK(Count(answer, "data: piece 3\n") == 1);
-  // Neither is whole, so the answer must not look whole.
+  // Both engines crash, so the answer must not end like a complete one.
   CHECK_FALSE(Has(answer, "\r\n0\r\n\r\n"));
   CHECK(RunCount(site) == 2);
 }
 
-// A caller reads a stream with a piece missing that ends as complete: the
-// engine left it out. It must be cut where the ids show the gap.
-TEST_CASE("a stream with a gap is cut, never completed", "[gateway]")
+// Guards against a stream that ends as complete with an event missing. It must
+// be cut where the event ids show the gap.
+TEST_CASE("a stream with a gap in its event ids is cut", "[gateway]")
 {
   PlatformSite site(1);
   Gateway& gateway = site.ReadyGateway();
@@ -164,9 +163,9 @@
   CHECK_FALSE(Has(answer, "\r\n0\r\n\r\n"));
 }
 
-// A certificate is issued twice: the engine ran the request and its answer was
-// lost, and the gateway sent it to another engine.
-TEST_CASE("what may not be repeated runs once and is not called unrun",
+// Guards against a non-idempotent request that runs twice: the server ran it,
+// its answer was lost, and the gateway retried on another server.
+TEST_CASE("a non-idempotent request is not retried nor reported as not run",
           "[gateway]")
 {
   PlatformSite site(2);
@@ -179,7 +178,7 @@
   CHECK(RunCount(site) == 1);
 }
 
-TEST_CASE("what engines refuse is tried at another, then said to be unrun",
+TEST_CASE("a refused request is retried elsewhere, then reported as not run",
           "[gateway]")
 {
   PlatformSite site(2);
@@ -193,7 +192,7 @@
   CHECK(Has(answer, "not_run"));
 }
 
-TEST_CASE("an engine's own failure is passed on unchanged", "[gateway]")
+TEST_CASE("an error answer of a server is forwarded unchanged", "[gateway]")
 {
   PlatformSite site(1);
   Gateway& gateway = site.ReadyGateway();
@@ -203,8 +202,8 @@
   CHECK(Has(answer, "seal-of-e1"));
 }
 
-// A caller waits on a request that its route gives 400 ms: the engine hangs.
-// The gateway answers at the limit, and stops the engine's work.
+// Guards against waiting for a hung server beyond the route's time limit
+// (400 ms): the gateway answers at the limit and cancels the server's work.
 TEST_CASE("a request ends at its route's time limit", "[gateway]")
 {
   PlatformSite site(1);
@@ -221,8 +220,8 @@
     site.Until([&] { return site.engines[0]->Runs()[0].end == "cancelled"; }));
 }
 
-// An engine works on for a caller that has left, while others wait.
-TEST_CASE("an engine stops when the caller leaves", "[gateway]")
+// Guards against a server working for a caller that has disconnected.
+TEST_CASE("a request is cancelled when the caller disconnects", "[gateway]")
 {
   PlatformSite site(1);
   Gateway& gateway = site.ReadyGateway();
@@ -236,9 +235,9 @@
                milliseconds(400)));
 }
 
-// A request reaches a server seconds after it said that it leaves; its list
-// entry said so, or was simply gone.
-TEST_CASE("a leaving engine gets no new work", "[gateway]")
+// Guards against requests to a server seconds after its list entry says that it
+// drains, or is removed.
+TEST_CASE("a leaving server gets no new work", "[gateway]")
 {
   PlatformSite site(2);
   Gateway& gateway = site.ReadyGateway();
@@ -261,9 +260,10 @@
   CHECK(onlySecond());
 }
 
-// A request is run by another service's server, which took over the address of
-// one that is gone: the server refuses, the gateway goes elsewhere.
-TEST_CASE("an address that is used again is noticed", "[gateway]")
+// Guards against a request that runs on another service's server, which has
+// taken over the address of a removed one: the server refuses, and the gateway
+// retries elsewhere.
+TEST_CASE("a reused server address is detected", "[gateway]")
 {
   PlatformSite site(1);
   standins::SealedEngineSettings other;
@@ -278,7 +278,7 @@
   CHECK(reused.Runs().empty());
 }
 
-TEST_CASE("a new configuration is in force at once and never undone",
+TEST_CASE("a new configuration takes effect at once and is never reverted",
           "[gateway]")
 {
   PlatformSite site(1);
@@ -297,9 +297,9 @@
   CHECK(site.Until([&] { return version(4); }, seconds(1)));
 }
 
-// A route that was added is 404 at one gateway for good: the store turns that
-// gateway away and serves the others, which must bring it the change.
-TEST_CASE("a gateway without the store learns from the others", "[gateway]")
+// Guards against a lasting 404 for a new route at a gateway that can't reach
+// the store: it must get the change from the other gateways.
+TEST_CASE("a gateway without the store gets routes from its peers", "[gateway]")
 {
   PlatformSite site(1);
   Gateway& first = site.ReadyGateway("g1");
@@ -308,7 +308,8 @@
     return Has(first.Statusz(), "\"gateways\" : 2") &&
            Has(second.Statusz(), "\"gateways\" : 2");
   }));
-  // What the store's watch would tell late or never, a digest's version does.
+  // The version in a digest announces a change that the store's watch may
+  // deliver late or never.
   PeerDigest digest;
   digest.gateway = InstanceName("g9");
   digest.incarnation = 1;
@@ -330,14 +331,14 @@
   newer.replace(newer.find("\"version\":1"), 11, "\"version\":7");
   second.OnDocument("/peer/routes", newer, { "127.0.0.1", 1 });
   CHECK(Has(second.Statusz(), "\"routes_version\" : 7"));
-  // And from there to the first, by digest and fetch.
+  // The first gateway gets it from the second by digest and fetch.
   CHECK(
     site.Until([&] { return Has(first.Statusz(), "\"routes_version\" : 7"); }));
 }
 
-// A stream is cut by a planned stop: the gateway must finish it, take no new
-// connections once the balancer knows, and then end.
-TEST_CASE("a planned stop finishes what runs", "[gateway]")
+// Guards against a stream cut by a planned stop: the gateway must finish it,
+// refuse new connections once the balancer has removed it, and then end.
+TEST_CASE("a planned stop drains requests in flight", "[gateway]")
 {
   PlatformSite site(0);
   standins::SealedEngineSettings slow;
@@ -357,8 +358,8 @@
   CHECK(Has(caller.received, "piece 30\n"));
 }
 
-// All gateways are stopped in turn, so the balancer has nobody else and goes
-// on sending; what is accepted late in the grace would be cut at its end.
+// Guards against requests accepted late in the grace period and cut at its end:
+// when all gateways stop in turn, the balancer keeps sending to the last.
 TEST_CASE("a stopping gateway stops accepting in time", "[gateway]")
 {
   PlatformSite site(1);
@@ -368,14 +369,14 @@
   held.Send(PlatformSite::RequestText("/once/x", "id-1"));
   REQUIRE(site.Until([&] { return RunCount(site) == 1; }));
   gateway.BeginStop();
-  // Half of the grace of two seconds is the balancer's.
+  // The balancer gets half of the grace period of two seconds.
   site.Until([] { return false; }, milliseconds(1200));
   RawSocket late = RawSocket::Connect(gateway.CallerAddress());
-  // Nothing can be sent on a connection that was refused.
+  // Sending on a refused connection fails.
   CHECK(late.Send(PlatformSite::RequestText("/again/x", "id-2")) < 0);
 }
 
-TEST_CASE("the retries of a service keep their bound", "[gateway]")
+TEST_CASE("the retries of a service stay within their budget", "[gateway]")
 {
   PlatformSite site(2);
   Gateway& gateway = site.ReadyGateway();
@@ -393,9 +394,10 @@
   CHECK(RunCount(site) <= 20 + 2 + 1);
 }
 
-// In a rush every review comes late, since each joins a queue that is longer
-// than its target. What would only lengthen the queue is told at once when to
-// come back; short prompts, which are read between the long ones, go on.
+// Guards against every long prompt missing its target in an overload because
+// each joins a queue that is already too long. Further ones are refused at once
+// with a Retry-After; short prompts, which are read between the long ones, are
+// still accepted.
 TEST_CASE("a long prompt is refused behind a long queue", "[gateway]")
 {
   PlatformSite site(0);
@@ -437,11 +439,10 @@
   CHECK(site.Until([&] { return RunCount(site) == before + 1; }));
 }
 
-// Callers ask for prompts that share a part. One engine has read it and is
-// behind; the others would read it again, each for as long as callers may wait.
-// The engine that gets the request is told which one to copy it from.
-TEST_CASE("an engine is told from which to copy what is cached there",
-          "[gateway]")
+// Guards against servers prefilling a shared prompt prefix again while the
+// server that has it cached has a long queue: the server that gets the request
+// is told where to copy the prefix from.
+TEST_CASE("a server is told where to copy a cached prefix from", "[gateway]")
 {
   PlatformSite site(2);
   Gateway& gateway = site.ReadyGateway();
@@ -464,23 +465,22 @@
     const auto& runs = site.engines[aEngine]->Runs();
     return runs.empty() ? standins::SealedRun{} : runs[0];
   };
-  // Whichever was first holds the part, the other copies it.
+  // The engine chosen first prefills the prefix, the other copies it.
   const std::size_t holder = firstRunOf(0).fetchFrom.empty() ? 0 : 1;
   CHECK(firstRunOf(holder).fetchFrom.empty());
   CHECK(firstRunOf(1 - holder).fetchFrom ==
         site.engines[holder]->Address().ToString());
 }
 
-// A caller waits for its whole time limit though another server could answer
-// it: the one that has its request hangs, with the connection open.
-TEST_CASE("a request goes on to another server when one says nothing",
-          "[gateway]")
+// Guards against waiting out the whole time limit for a server that hangs with
+// its connection open, though another server could answer.
+TEST_CASE("a request is retried when a server stays silent", "[gateway]")
 {
   PlatformSite site(2);
   Gateway& gateway = site.ReadyGateway();
   site.engines[0]->SetFault(Fault("hang"));
-  // Servers with equal work are drawn at random: each of these may be the first
-  // to meet the one that hangs.
+  // Servers with equal load are chosen at random, so any of these requests may
+  // be the first that is sent to the hung one.
   constexpr int kLeast = 6;
   constexpr int kMost = 60;
   const auto isMet = [&] { return !site.engines[0]->Runs().empty(); };
--- a/test/GatewayParts.cpp
+++ b/test/GatewayParts.cpp
@@ -26,7 +26,8 @@
 
 } // namespace
 
-TEST_CASE("events are given out whole, however they are cut", "[events]")
+TEST_CASE("the event splitter returns whole events for any chunking",
+          "[events]")
 {
   CHECK(rc::check([] {
     const auto count = *rc::gen::inRange(1, 8);
@@ -50,9 +51,9 @@
   }));
 }
 
-// A caller reads two half answers as one: the engine did not go on after the
-// event it was asked to go on from, but began anew or skipped some.
-TEST_CASE("a stream that goes on elsewhere must fit", "[events]")
+// Guards against joining two runs into one answer: a server asked to resume a
+// stream restarts it or skips events.
+TEST_CASE("a resumed stream must continue the event ids", "[events]")
 {
   EventSplitter again(std::uint64_t(7));
   CHECK(again.Feed(Event(8)).ok());
@@ -64,11 +65,11 @@
   CHECK_FALSE(twice.Feed(Event(1) + Event(1)).ok());
 }
 
-// A service is swamped by retries of several gateways. Whatever each sees,
-// the retries in every window stay below the share of the requests (of that
-// window, the one before it or the one half a window before it, whichever has
-// most) and the fixed extra.
-TEST_CASE("retries keep their bound in every window", "[retries]")
+// Guards against a retry storm from several gateways. Whatever requests each
+// sees, the retries in every window stay below the fixed extra plus the share
+// of the requests of that window, the one before it or the one half a window
+// before it, whichever has most.
+TEST_CASE("retries stay within the budget in every window", "[retries]")
 {
   CHECK(rc::check([] {
     const auto gateways = *rc::gen::inRange<std::size_t>(1, 5);
@@ -107,7 +108,7 @@
   }));
 }
 
-TEST_CASE("the work of gateways adds up and lapses with them", "[work]")
+TEST_CASE("the work reported by gateways adds up and expires", "[work]")
 {
   WorkTable table;
   const InstanceName e1("e1");
@@ -126,14 +127,14 @@
   CHECK(table.OwnLines().empty());
 }
 
-TEST_CASE("a prompt's steps count only with all before them", "[prompt]")
+TEST_CASE("a prompt's step is cached only with all steps before it", "[prompt]")
 {
   const std::vector<PromptPart> parts{ { 1, 100 }, { 2, 50 } };
   const std::vector<PromptPart> other{ { 3, 100 }, { 2, 50 } };
   const auto steps = StepsOf(parts);
   REQUIRE(steps.size() == 2);
   CHECK(steps[1].hash != StepsOf(other)[1].hash);
-  // What one model has read is of no use to another.
+  // Cached steps of one model are of no use to another.
   CHECK(steps[1].hash != StepsOf(parts, "other")[1].hash);
   const InstanceName e1("e1");
   CacheBelief caches;
@@ -144,10 +145,9 @@
   CHECK(caches.TokensHeld(InstanceName("e2"), steps) == 0);
 }
 
-// In a burst prompts are sent for their shared part to a server that read it
-// three seconds ago. They wait behind its queue and are read in full: what it
-// has read since has pushed the part out.
-TEST_CASE("a part that later ones have pushed out is not held", "[prompt]")
+// Guards against placing prompts by a shared prefix that the server's cache has
+// evicted since: they wait in its queue and are prefilled in full.
+TEST_CASE("an evicted prefix is not expected in the cache", "[prompt]")
 {
   constexpr std::uint64_t kRoom = 1000;
   const InstanceName server("e1");
@@ -165,7 +165,7 @@
   CHECK(held(1) == 300);
   use(1, 11);
   use(3, 30);
-  // Used again since, where the second was not.
+  // The first was used again since, the second was not.
   CHECK(held(1) == 300);
   CHECK(held(2) == 0);
   CHECK(held(3) == 300);
@@ -173,7 +173,7 @@
   CHECK(held(3) == 0);
 }
 
-TEST_CASE("what a cache is believed to hold fits into it", "[prompt]")
+TEST_CASE("the expected cache content fits into the cache", "[prompt]")
 {
   CHECK(rc::check([] {
     const auto room = *rc::gen::inRange<std::uint64_t>(1, 5000);
@@ -222,9 +222,9 @@
 
 } // namespace
 
-// A teller's note pauses beyond its bound though its engine has few requests:
-// the engine reads long scans between the note's steps.
-TEST_CASE("long prompts and short answers part", "[choice]")
+// Guards against long gaps in interactive streams on a lightly loaded server
+// that prefills long prompts between their steps.
+TEST_CASE("long prompts and short answers use different servers", "[choice]")
 {
   DirectDemand longDemand = Demand(9000, true);
   DirectDemand shortDemand = Demand(800, false);
@@ -235,8 +235,9 @@
   CHECK(Chosen(engines, shortDemand) == "notes");
 }
 
-TEST_CASE("a cached prompt goes where it is, unless that is far behind",
-          "[choice]")
+TEST_CASE(
+  "a prompt goes to the server that has it cached unless that is far behind",
+  "[choice]")
 {
   DirectDemand demand = Demand(9000, true);
   demand.tokensPerTarget = 40'000;
@@ -244,16 +245,16 @@
                                         Candidate("empty", 1, 0) };
   engines[0].cachedTokens = 6000;
   CHECK(Chosen(engines, demand) == "holds");
-  // A shorter wait alone does not pay for reading the part a second time.
+  // A shorter wait alone does not justify a second prefill of the prefix.
   engines[0].work.PrefillAt(0) = 20'000;
   CHECK(Chosen(engines, demand) == "holds");
   engines[0].work.PrefillAt(0) = 50'000;
   CHECK(Chosen(engines, demand) == "empty");
 }
 
-// Notes wait 20 deep for a slot and get nothing for seconds, while servers that
-// read long prompts have slots free.
-TEST_CASE("a full server's queue is not joined while others have slots",
+// Guards against interactive requests queueing 20 deep for a slot while servers
+// with long prompts have free slots.
+TEST_CASE("a full server is not chosen while others have free slots",
           "[choice]")
 {
   DirectDemand demand = Demand(800, false);
@@ -266,13 +267,13 @@
   CHECK(Chosen(engines, demand) == "full");
 }
 
-TEST_CASE("speed and stay are measured", "[prefill]")
+TEST_CASE("prefill speed and request duration are measured", "[prefill]")
 {
   PrefillFlow flow;
   CHECK_FALSE(flow.TokensPerTurn(8).has_value());
   flow.OnRequest(1000);
   flow.OnStay(seconds(2));
-  // Short prompts tell nothing of the speed.
+  // Short prompts give no sample of the speed.
   flow.OnFirstToken(InstanceName("e1"), 10, milliseconds(50));
   CHECK_FALSE(flow.TokensPerTurn(8).has_value());
   flow.OnFirstToken(InstanceName("e1"), 10'000, milliseconds(250));
@@ -281,7 +282,7 @@
   CHECK_FALSE(flow.TokensPerTurn(0).has_value());
 }
 
-TEST_CASE("ejected servers are taken only where there is no other", "[choice]")
+TEST_CASE("ejected servers are chosen only if there is no other", "[choice]")
 {
   const DirectDemand demand;
   std::vector<DirectCandidate> servers{ Candidate("out", 0, 0),
@@ -293,7 +294,8 @@
   CHECK(Chosen({}, demand).empty());
 }
 
-TEST_CASE("what is long is learned from what comes", "[prefill]")
+TEST_CASE("the threshold of a long prompt follows the prompts seen",
+          "[prefill]")
 {
   PrefillFlow flow;
   CHECK_FALSE(flow.IsLong(100'000));
@@ -312,7 +314,7 @@
   CHECK(flow.Recent(e1, At(seconds(1))) == 0);
 }
 
-TEST_CASE("a digest comes through as it was, or not at all", "[digest]")
+TEST_CASE("a digest is decoded unchanged or rejected", "[digest]")
 {
   PeerDigest digest;
   digest.gateway = InstanceName("g1");
@@ -355,9 +357,9 @@
   }));
 }
 
-// A gateway of the version before says nothing of crashes; its digest, seven
-// fields, is read all the same while a release is under way.
-TEST_CASE("a digest of an older gateway is read", "[digest]")
+// Guards a rolling upgrade: digests of the previous version have seven fields,
+// without crash reports, and must still be decoded.
+TEST_CASE("a digest of the previous version is decoded", "[digest]")
 {
   using Older = std::tuple<std::string,
                            std::uint64_t,
@@ -376,7 +378,7 @@
   CHECK(read->crashes.IsEmpty());
 }
 
-TEST_CASE("a process that stood still is noticed", "[suspension]")
+TEST_CASE("a suspension of the process is detected", "[suspension]")
 {
   const auto loop = *EventLoop::Create();
   Duration lost{ 0 };
@@ -388,10 +390,10 @@
   CHECK(lost >= milliseconds(300));
 }
 
-// In a rush every review comes late, though the engines read as many as ever:
-// each waits behind a queue that is longer than its target. How long a prompt
-// would wait has to be known before it joins.
-TEST_CASE("the wait behind others is known from measured speed", "[prefill]")
+// Guards against every long prompt missing its target in an overload: each
+// waits in a queue longer than its target, so the wait must be estimated before
+// a prompt joins.
+TEST_CASE("the wait in a queue is estimated from measured speed", "[prefill]")
 {
   PrefillFlow flow;
   const InstanceName fast("fast");
@@ -412,9 +414,9 @@
   CHECK(flow.WaitBehind(slow, 40'000) == quick);
 }
 
-// Engines are taken out as slow in turn, though none is sick: those that read
-// long prompts answer later than those that do not.
-TEST_CASE("a server that reads much is not taken for a slow one", "[prefill]")
+// Guards against ejecting healthy servers as slow because they prefill long
+// prompts and so answer later than others.
+TEST_CASE("a server with much prefill is not ejected as slow", "[prefill]")
 {
   PrefillFlow flow;
   for (int i = 0; i < 40; ++i) {
@@ -429,10 +431,9 @@
   CHECK(sick > 4 * alone);
 }
 
-// A caller gets its answer only at its time limit, or none: the server that has
-// its request hangs with the connection open, and no other server is tried.
-TEST_CASE("a silent server is given up only where another may follow",
-          "[patience]")
+// Guards against waiting out the time limit for a server that hangs with its
+// connection open while no other server is tried.
+TEST_CASE("only attempts that another may follow have time-outs", "[patience]")
 {
   HostRoute route;
   route.kind = RouteKind::Streaming;
@@ -441,17 +442,18 @@
   route.target = milliseconds(600);
   route.targetGap = milliseconds(200);
   const AttemptPatience first = PatienceFor(route, 0, seconds(6));
-  CHECK(first.firstSign == milliseconds(1800));
+  CHECK(first.firstResponse == milliseconds(1800));
   CHECK(first.betweenEvents == milliseconds(1000));
-  // Half of what is left stays for the other server.
-  CHECK(PatienceFor(route, 0, seconds(2)).firstSign == seconds(1));
-  CHECK(PatienceFor(route, 1, seconds(6)).firstSign == Duration::zero());
+  // Half of the remaining time is left for the other server.
+  CHECK(PatienceFor(route, 0, seconds(2)).firstResponse == seconds(1));
+  CHECK(PatienceFor(route, 1, seconds(6)).firstResponse == Duration::zero());
   route.isResumable = false;
-  CHECK(PatienceFor(route, 0, seconds(6)).firstSign == Duration::zero());
+  CHECK(PatienceFor(route, 0, seconds(6)).firstResponse == Duration::zero());
 }
 
-TEST_CASE("those refused for load come back when there is room, spread out",
-          "[refusal]")
+TEST_CASE(
+  "retry times after an overload refusal fit the wait and are spread out",
+  "[refusal]")
 {
   CHECK_FALSE(IsWaitTooLong(milliseconds(900), milliseconds(600)));
   CHECK(IsWaitTooLong(milliseconds(901), milliseconds(600)));
@@ -469,7 +471,7 @@
         milliseconds(100));
 }
 
-TEST_CASE("the baselines go by turn and by requests alone", "[choice]")
+TEST_CASE("the baseline choosers use turns or request counts only", "[choice]")
 {
   std::mt19937_64 random(1);
   std::vector<DirectCandidate> engines{ Candidate("a", 3, 9000),
--- a/test/RateLimitedServers.cpp
+++ b/test/RateLimitedServers.cpp
@@ -9,12 +9,13 @@
 
 constexpr std::size_t kGateways = 4;
 constexpr Duration kWindow = seconds(4);
-/// From a server's first word to the moment from which it holds everywhere.
-constexpr Duration kKnown = milliseconds(500);
+/// Time until a rate limit named by a server is in force at every gateway.
+constexpr Duration kPropagationTime = milliseconds(500);
 
-/// The most that reached the engine in any window from \p aFrom on.
+/// The largest number of requests that reached the engine in any window of
+/// kWindow that starts at or after \p aFrom.
 std::size_t
-MostInWindow(const standins::SealedEngine& aEngine, TimePoint aFrom)
+MaxInWindow(const standins::SealedEngine& aEngine, TimePoint aFrom)
 {
   std::size_t most = 0;
   for (const standins::SealedArrival& first : aEngine.Arrivals()) {
@@ -28,9 +29,8 @@
 
 } // namespace
 
-// Guards against a server in need being sent as much as before: nobody read the
-// rate that its answers name.
-TEST_CASE("a server gets no more than the rate it names", "[backpressure]")
+// Guards against gateways that ignore the rate limit in a server's answers.
+TEST_CASE("a server gets no more than its rate limit", "[backpressure]")
 {
   FleetSite site;
   standins::SealedEngine& limited = site.AddEngine("limited");
@@ -40,15 +40,14 @@
   limited.SetFault(FleetSite::Fault("rate_limit", "4.4"));
   const TimePoint named = Now();
   site.Play(seconds(5));
-  CHECK(MostInWindow(limited, named + kKnown) <= 31);
+  CHECK(MaxInWindow(limited, named + kPropagationTime) <= 31);
   CHECK(site.ServedCount() == site.sent.size());
 }
 
-// Guards against refusing more than a service in need can't take, and against
-// callers that learn nothing of when to come back.
-TEST_CASE(
-  "where all servers name a rate it is used and the rest refused at once",
-  "[backpressure]")
+// Guards against refusing more requests than the rate limits require, and
+// against refusals without a Retry-After.
+TEST_CASE("when all servers limit their rate the excess is refused at once",
+          "[backpressure]")
 {
   FleetSite site;
   std::vector<standins::SealedEngine*> engines;
@@ -63,10 +62,10 @@
   site.Play(seconds(4));
   std::size_t arrived = 0;
   for (const standins::SealedEngine* engine : engines) {
-    CHECK(MostInWindow(*engine, from) <= 41);
+    CHECK(MaxInWindow(*engine, from) <= 41);
     arrived += FleetSite::ArrivedBetween(*engine, from, from + kWindow);
   }
-  // 0.7 of what three servers name for four seconds.
+  // 0.7 of the requests that three servers allow in four seconds.
   CHECK(arrived >= 50);
   auto one = std::next(site.sent.begin(), static_cast<long>(sentBefore));
   for (; one != site.sent.end(); ++one) {
@@ -75,9 +74,9 @@
   }
 }
 
-// Guards against a bound that outlives the need: only a few gateways hear from
-// the server itself.
-TEST_CASE("a server that names no rate any more gets work at once",
+// Guards against a rate limit that stays in force at some gateways after the
+// server has lifted it: only a few of them get an answer of the server itself.
+TEST_CASE("a server that lifts its rate limit gets work at once",
           "[backpressure]")
 {
   FleetSite site;
@@ -92,9 +91,10 @@
   CHECK(FleetSite::ArrivedBetween(engine, from, from + seconds(1)) >= 80);
 }
 
-// Guards against a new way to a server that passes the rate by: whoever wants
-// to send asks for the connection, and gets none.
-TEST_CASE("no connection is given beyond a server's rate", "[backpressure]")
+// Guards against a code path that bypasses the rate limit: every sender must
+// acquire the client of the server, which is denied beyond the limit.
+TEST_CASE("no client is acquired beyond a server's rate limit",
+          "[backpressure]")
 {
   auto loop = *EventLoop::Create();
   BackendPool::Options options;
--- a/test/RestingServers.cpp
+++ b/test/RestingServers.cpp
@@ -8,18 +8,19 @@
 namespace {
 
 constexpr std::size_t kGateways = 4;
-/// What is on its way when a server asks for rest may still come.
-constexpr Duration kUnderWay = milliseconds(500);
+/// Requests in flight when a server asks for back-off may still arrive.
+constexpr Duration kInFlightTime = milliseconds(500);
 
-/// From one request to the next.
-constexpr Duration kSeldom = milliseconds(25);
+/// Interval between two requests.
+constexpr Duration kRequestInterval = milliseconds(25);
 
-/// The most requests that one gateway sent to the engine within the rest that
-/// one of its refusals asked for.
+/// The largest number of requests that one gateway sent to the engine during a
+/// back-off that the engine had asked for, not counting kInFlightTime at its
+/// start.
 std::size_t
-MostInRest(const FleetSite& aSite,
-           const standins::SealedEngine& aEngine,
-           Duration aRest)
+MaxSentInBackoff(const FleetSite& aSite,
+                 const standins::SealedEngine& aEngine,
+                 Duration aBackoff)
 {
   std::size_t most = 0;
   for (const standins::SealedArrival& refused : aEngine.Arrivals()) {
@@ -29,8 +30,8 @@
     const std::size_t gateway = aSite.GatewayOf(refused.id);
     const auto count = std::ranges::count_if(
       aEngine.Arrivals(), [&](const standins::SealedArrival& aOne) {
-        return aOne.at >= refused.at + kUnderWay &&
-               aOne.at < refused.at + aRest &&
+        return aOne.at >= refused.at + kInFlightTime &&
+               aOne.at < refused.at + aBackoff &&
                aSite.GatewayOf(aOne.id) == gateway;
       });
     most = std::max(most, static_cast<std::size_t>(count));
@@ -48,25 +49,26 @@
 
 } // namespace
 
-// Guards against a server that turns a gateway away being asked again and again
-// within the rest that it asked for.
-TEST_CASE("a server that asks for rest is left alone", "[backpressure]")
+// Guards against repeated requests to a server during the back-off that its
+// refusal (Retry-After) asked for.
+TEST_CASE("a server gets no requests during the back-off it asked for",
+          "[backpressure]")
 {
   FleetSite site;
   standins::SealedEngine& resting = site.AddEngine("rests");
   site.AddEngine("works");
   site.AddEngine("works-too");
   site.StartGateways(kGateways);
-  site.Play(seconds(1), kSeldom);
+  site.Play(seconds(1), kRequestInterval);
   resting.SetFault(Refusal("3"));
-  site.Play(seconds(6), kSeldom);
-  CHECK(MostInRest(site, resting, seconds(3)) <= 2);
+  site.Play(seconds(6), kRequestInterval);
+  CHECK(MaxSentInBackoff(site, resting, seconds(3)) <= 2);
   CHECK(site.ServedCount() == site.sent.size());
 }
 
-// Guards against callers that learn nothing of when to come back, and against
-// the herd that comes when the first server has rested.
-TEST_CASE("where all servers rest requests are refused until one is tried",
+// Guards against refusals without a Retry-After, and against a thundering herd
+// when the back-off of the first server ends.
+TEST_CASE("while all servers are in back-off requests are refused",
           "[backpressure]")
 {
   FleetSite site;
@@ -86,7 +88,7 @@
   for (const standins::SealedEngine* engine : engines) {
     CHECK(FleetSite::ArrivedBetween(*engine, from, TimePoint::max()) == 0);
   }
-  // When the rests are over each gateway tries each server once, not more.
+  // After the back-off each gateway sends each server one trial request only.
   site.Play(seconds(1));
   for (standins::SealedEngine* engine : engines) {
     CHECK(FleetSite::ArrivedBetween(*engine, from, TimePoint::max()) <= 4);
@@ -98,7 +100,7 @@
   CHECK(site.ServedCount() == site.sent.size());
 }
 
-TEST_CASE("a refusal without a rest keeps no server from work",
+TEST_CASE("a refusal without a back-off time does not suspend the server",
           "[backpressure]")
 {
   ServerRests rests;
@@ -108,14 +110,14 @@
   CHECK(rests.MaySend(server, start));
 }
 
-TEST_CASE("a rest ends by time and is followed by one trial at a time",
+TEST_CASE("a back-off ends by time and is followed by one trial at a time",
           "[backpressure]")
 {
   ServerRests rests;
   const InstanceName server("e1");
   const TimePoint start = TimePoint{} + seconds(100);
   CHECK(rests.OnRefused(server, seconds(3), start));
-  // The answer to what was sent before, and a shorter rest, change nothing.
+  // An answer to an earlier request and a shorter back-off change nothing.
   rests.OnAnswer(server, start + seconds(1));
   CHECK_FALSE(rests.OnRefused(server, seconds(1), start + seconds(1)));
   CHECK_FALSE(rests.MaySend(server, start + milliseconds(2999)));
@@ -132,7 +134,7 @@
   CHECK(rests.MaySend(server, over + milliseconds(20)));
 }
 
-TEST_CASE("no rest is for ever", "[backpressure]")
+TEST_CASE("a back-off has an upper bound", "[backpressure]")
 {
   ServerRests rests;
   const InstanceName server("e1");
--- a/test/support/PlatformSite.h
+++ b/test/support/PlatformSite.h
@@ -14,8 +14,8 @@
 
 namespace dogwoodvale::test {
 
-/// A site of the users' platform in this process: the store, engines and
-/// gateways on loopback ports of their own.
+/// A site of the users' platform within the test process: the store, engines
+/// and gateways, each on its own loopback port.
 class PlatformSite
 {
 public:
@@ -52,9 +52,11 @@
                   aBorn));
   }
 
-  /// Routes /stream/ (resumable), /once/ (may not be repeated), /again/ (may),
-  /// /read/stream/ (names its prompts).
-  /// \param aMoreRoutes routes /more-1/ and so on, as /again/.
+  /// Stores a configuration with the routes /stream/ (resumable),
+  /// /note/stream/ (not resumable), /once/ (non-idempotent), /again/
+  /// (idempotent) and /read/stream/ (with prompt metadata).
+  /// \param aMoreRoutes number of further routes /more-1/, /more-2/ ... that
+  /// are like /again/.
   void PutConfiguration(int aVersion,
                         int aTimeoutMillis = 2000,
                         int aMoreRoutes = 0) const
@@ -155,8 +157,8 @@
                        aBody);
   }
 
-  /// Sends a request on a connection of its own and waits for the end of the
-  /// answer or of the connection. \return what came.
+  /// Sends a request on a new connection and waits until the gateway closes it.
+  /// \return the bytes received.
   std::string Ask(const Gateway& aGateway,
                   const std::string& aPath,
                   const std::string& aId,
@@ -171,9 +173,9 @@
     return caller.received;
   }
 
-  /// Given to gateways that start from now on.
+  /// Duration of a quarantine at gateways that are added later.
   Duration quarantine = seconds(600);
-  /// Where they reach the store, if not directly.
+  /// Address at which gateways reach the store, if not the store's own.
   std::optional<SocketAddress> storeRelay;
   GatewayDecisions decisions;
   DutySettings duties;
@@ -181,7 +183,7 @@
   std::unique_ptr<standins::MetadataStore> store =
     *standins::MetadataStore::Create(*this->loop, { "127.0.0.1", 0 });
   std::vector<std::unique_ptr<standins::SealedEngine>> engines;
-  /// Of the gateways, which tell others their port before they bind it.
+  /// Reserved because gateways announce their peer port before they bind it.
   std::vector<PortReservation> peerPorts;
   std::vector<std::unique_ptr<Gateway>> gateways;
 };
