--- a/dogwoodvale/src/Gateway/Admission.cpp
+++ b/dogwoodvale/src/Gateway/Admission.cpp
@@ -35,10 +35,10 @@
   pauses.OnRequest(bound);
   // Without ranked reading every request has the lowest rank, so the prefill
   // tokens of all requests count as ahead of it.
-  demand.rank = aPool.Decisions().rankedReading ? aRequest.places.inTime
+  demand.rank = aPool.Decisions().rankedReading ? aRequest.priorities.inTime
                                                 : BackendWork::kRanks - 1;
   if (aPool.Decisions().rankedTurns) {
-    demand.turnRank = aRequest.places.inTime;
+    demand.turnRank = aRequest.priorities.inTime;
   }
   demand.isInteractive =
     aPool.Decisions().reservedServers && pauses.IsInteractive(bound);
@@ -100,7 +100,7 @@
                    kConfigurationRetryAfter);
   }
   admitted.rank = admitted.routes->RankOf(*admitted.route, customer, service);
-  admitted.places =
+  admitted.priorities =
     PlacesOf(admitted.rank, admitted.routes->RankCount(service));
   if (admitted.route->hasPrompts) {
     admitted.demand = DemandOf(admitted, aPool);
--- a/dogwoodvale/src/Gateway/Admission.h
+++ b/dogwoodvale/src/Gateway/Admission.h
@@ -22,7 +22,7 @@
   /// Priority rank, see RouteTable::RankOf().
   std::uint32_t rank = 0;
   /// The priorities at a backend server that follow from the rank.
-  OrderPlaces places;
+  OrderPlaces priorities;
   CallerEnvelope callerMetadata;
   /// The same for every retry of the caller, at any gateway.
   RequestFingerprint fingerprint = 0;
--- a/dogwoodvale/src/Gateway/AttemptHealth.cpp
+++ b/dogwoodvale/src/Gateway/AttemptHealth.cpp
@@ -5,13 +5,13 @@
 void
 AttemptHealth::OnFirstResponse(Duration aLatency,
                                std::uint32_t aPromptTokens,
-                               std::uint64_t aReadTokens,
+                               std::uint64_t aPrefillTokens,
                                PrefillFlow& aFlow) const
 {
   const std::optional<Duration> sample =
     aPromptTokens == 0
       ? aLatency
-      : aFlow.HealthSample(aPromptTokens, aReadTokens, aLatency);
+      : aFlow.HealthSample(aPromptTokens, aPrefillTokens, aLatency);
   if (this->tracker != nullptr && sample) {
     this->tracker->OnFirstToken(this->instance, *sample);
   }
--- a/dogwoodvale/src/Gateway/AttemptHealth.h
+++ b/dogwoodvale/src/Gateway/AttemptHealth.h
@@ -15,10 +15,10 @@
 
   /// The first part of an answer arrived.
   /// \param aPromptTokens 0 if the request names no prompt.
-  /// \param aReadTokens prefill tokens of the server until then.
+  /// \param aPrefillTokens prefill tokens of the server until then.
   void OnFirstResponse(Duration aLatency,
                        std::uint32_t aPromptTokens,
-                       std::uint64_t aReadTokens,
+                       std::uint64_t aPrefillTokens,
                        PrefillFlow& aFlow) const;
   /// The server has served the request to its end.
   void OnAnswered() const;
--- a/dogwoodvale/src/Gateway/BackendPool.cpp
+++ b/dogwoodvale/src/Gateway/BackendPool.cpp
@@ -36,8 +36,9 @@
   return aDemand.steps[aDemand.steps.size() - 2].hash;
 }
 
-/// Marks the home server of the shared prefix: the candidate in service, of the
-/// kind (reserved or not) that suits the request, with the highest HomeScore().
+/// Marks the home server of the shared prefix, chosen by rendezvous hashing:
+/// the candidate in service, of the kind (reserved or not) that suits the
+/// request, with the highest HomeScore().
 void
 MarkHome(std::vector<DirectCandidate>& aCandidates, const DirectDemand& aDemand)
 {
--- a/dogwoodvale/src/Gateway/GatewayRequest.cpp
+++ b/dogwoodvale/src/Gateway/GatewayRequest.cpp
@@ -59,7 +59,7 @@
 PlacementRequest
 GatewayRequest::MakePlacementRequest(TimePoint aNow) const
 {
-  PlacementRequest request{ this->admitted.demand, this->admitted.places };
+  PlacementRequest request{ this->admitted.demand, this->admitted.priorities };
   request.target = this->GetRoute().target;
   request.spent = Between(this->accepted, aNow);
   request.outputTokens = this->admitted.callerMetadata.maxOutputTokens;
@@ -208,11 +208,12 @@
   const Duration latency = Between(this->sent->at, aNow);
   PrefillFlow& flow =
     this->host.Backends().FlowOf(this->admitted.service->name);
-  const std::uint64_t read =
+  const std::uint64_t prefilled =
     this->outcome.placement.prefillAhead + this->sent->work.Prefill();
   this->HealthOf(this->sent->instance)
-    .OnFirstResponse(latency, this->admitted.demand.promptTokens, read, flow);
-  flow.OnFirstToken(this->sent->instance, read, latency);
+    .OnFirstResponse(
+      latency, this->admitted.demand.promptTokens, prefilled, flow);
+  flow.OnFirstToken(this->sent->instance, prefilled, latency);
   BackendWork prefill;
   prefill.prefillTokens = this->sent->work.prefillTokens;
   this->host.Backends().OnDone(this->sent->instance, prefill);
--- a/dogwoodvale/src/Gateway/Ports.h
+++ b/dogwoodvale/src/Gateway/Ports.h
@@ -104,7 +104,7 @@
   /// Empty when the request needs no key.
   CustomerName customer;
   Duration timeLeft{ 0 };
-  /// Place in the server's queue, 0 is served first.
+  /// Priority in the server's queue; 0 is served first.
   std::uint32_t place = 0;
   /// A server whose cache holds a prefix of the prompt; the addressed server
   /// copies what it lacks from there and prefills the rest.
--- a/test/Gateway.cpp
+++ b/test/Gateway.cpp
@@ -248,11 +248,11 @@
     }
     return site.engines[0]->Runs().size() == before;
   };
-  SECTION("it says that it drains")
+  SECTION("its list entry says that it drains")
   {
     site.Register("e1", *site.engines[0], "draining");
   }
-  SECTION("its entry is gone")
+  SECTION("its list entry is removed")
   {
     site.store->Remove("servers/e1");
   }
@@ -396,8 +396,8 @@
 
 // Guards against every long prompt missing its target in an overload because
 // each joins a queue that is already too long. Further ones are refused at once
-// with a Retry-After; short prompts, which are read between the long ones, are
-// still accepted.
+// with a Retry-After; short prompts, which are prefilled between the long ones,
+// are still accepted.
 TEST_CASE("a long prompt is refused behind a long queue", "[gateway]")
 {
   PlatformSite site(0);
--- a/test/RestingServers.cpp
+++ b/test/RestingServers.cpp
@@ -88,7 +88,7 @@
   for (const standins::SealedEngine* engine : engines) {
     CHECK(FleetSite::ArrivedBetween(*engine, from, TimePoint::max()) == 0);
   }
-  // After the back-off each gateway sends each server one trial request only.
+  // After the back-off each gateway sends each server one probe request only.
   site.Play(seconds(1));
   for (standins::SealedEngine* engine : engines) {
     CHECK(FleetSite::ArrivedBetween(*engine, from, TimePoint::max()) <= 4);
@@ -110,7 +110,7 @@
   CHECK(rests.MaySend(server, start));
 }
 
-TEST_CASE("a back-off ends by time and is followed by one trial at a time",
+TEST_CASE("a back-off ends by time and is followed by one probe at a time",
           "[backpressure]")
 {
   ServerRests rests;
