--- a/dogwoodvale/src/Gateway/CrashGuard.cpp
+++ b/dogwoodvale/src/Gateway/CrashGuard.cpp
@@ -5,10 +5,6 @@
 
 namespace dogwoodvale {
 
-namespace {
-
-} // namespace
-
 CrashGuard::CrashGuard(EventLoop& aLoop,
                        BackendPool& aPool,
                        StoreClient& aStore,
@@ -19,8 +15,8 @@
   , keeper(
       aLoop,
       aStore,
-      [this](const QuarantineVerdict& aVerdict) { this->TakeKept(aVerdict); })
-  , askTimer(aLoop, [this] { this->Ask(); })
+      [this](const QuarantineVerdict& aVerdict) { this->OnStored(aVerdict); })
+  , probeTimer(aLoop, [this] { this->ProbeServers(); })
 {
 }
 
@@ -94,7 +90,7 @@
                      RequestFingerprint aRequest,
                      const BrokenAttempt& aBroken)
 {
-  // One that was to leave has left: its end is no crash.
+  // A server that announced its departure has left: this is no crash.
   if (!this->options.isOn || this->pool.IsLeaving(aInstance)) {
     return;
   }
@@ -102,27 +98,27 @@
   if (!weight || !this->broken.Add(aInstance, aRequest, *weight, Now())) {
     return;
   }
-  this->toAsk.push_back(aInstance);
-  if (!this->askTimer.IsPending()) {
-    this->askTimer.StartOnce(kAskAfter);
+  this->toProbe.push_back(aInstance);
+  if (!this->probeTimer.IsPending()) {
+    this->probeTimer.StartOnce(kAskAfter);
   }
 }
 
-// Which servers have ended.
+// Detection of crashed servers.
 
 void
-CrashGuard::Ask()
+CrashGuard::ProbeServers()
 {
-  for (const InstanceName& instance : std::exchange(this->toAsk, {})) {
+  for (const InstanceName& instance : std::exchange(this->toProbe, {})) {
     const auto onResult = [this, instance](ProbeResult aResult) {
       if (aResult == ProbeResult::Accepted) {
         this->broken.OnAlive(instance);
       } else if (aResult == ProbeResult::Refused) {
-        this->OnEnded(instance, "refused");
+        this->OnCrashed(instance, "refused");
       }
     };
     if (!this->pool.Probe(instance, onResult)) {
-      this->OnEnded(instance, "removed");
+      this->OnCrashed(instance, "removed");
     }
   }
 }
@@ -130,7 +126,7 @@
 void
 CrashGuard::OnReplaced(const InstanceName& aInstance)
 {
-  this->OnEnded(aInstance, "replaced");
+  this->OnCrashed(aInstance, "replaced");
 }
 
 void
@@ -138,19 +134,19 @@
 {
   for (const InstanceName& instance : this->broken.Open()) {
     if (!this->pool.IsListed(instance)) {
-      this->OnEnded(instance, "removed");
+      this->OnCrashed(instance, "removed");
     }
   }
 }
 
 void
-CrashGuard::OnEnded(const InstanceName& aInstance, const char* aHow)
+CrashGuard::OnCrashed(const InstanceName& aInstance, const char* aHow)
 {
   const std::vector<CrashEvidence> runs = this->broken.OnEnded(aInstance);
   if (runs.empty()) {
     return;
   }
-  ++this->ended;
+  ++this->crashedCount;
   Log(LogLevel::Warning,
       "server_crashed",
       "instance",
@@ -188,7 +184,7 @@
 }
 
 void
-CrashGuard::Judge(TimePoint aNow)
+CrashGuard::EvaluateEvidence(TimePoint aNow)
 {
   for (const RequestFingerprint request : this->ledger.Judge(aNow)) {
     this->keeper.Keep(this->LogVerdict(request, "evidence", aNow));
@@ -206,11 +202,12 @@
   const TimePoint now = Now();
   aDigest.crashes = this->ledger.News(now);
   for (const RequestFingerprint request : this->ledger.Suspects()) {
-    // One that has just broken off counts until the verdict on its server can
-    // be told: in between, other gateways would send their copies.
-    const bool isUnderWay =
+    // A request that has just been aborted counts as in flight until the
+    // verdict on its server can be sent: meanwhile other gateways would send
+    // their duplicates.
+    const bool isInFlight =
       this->copies.HasOwn(request) || this->broken.HasJustBroken(request, now);
-    if (isUnderWay &&
+    if (isInFlight &&
         aDigest.suspectsUnderWay.size() < CrashLedger::kMostNews) {
       aDigest.suspectsUnderWay.push_back(request);
     }
@@ -236,16 +233,16 @@
   const std::vector<InstanceName> open = this->broken.Open();
   for (const CrashEvidence& evidence : aDigest.crashes.evidence) {
     this->ledger.Take(evidence, CrashLedger::Source::Told, now);
-    // Another gateway has found out that the server ended.
+    // Another gateway has detected that the server crashed.
     const auto known = std::ranges::find(open, evidence.server, ServerKeyOf);
     if (known != open.end()) {
-      this->OnEnded(*known, "told");
+      this->OnCrashed(*known, "told");
     }
   }
 }
 
 void
-CrashGuard::TakeKept(const QuarantineVerdict& aVerdict)
+CrashGuard::OnStored(const QuarantineVerdict& aVerdict)
 {
   const TimePoint now = Now();
   if (this->ledger.Take(aVerdict, now)) {
@@ -259,7 +256,7 @@
   const TimePoint now = Now();
   this->broken.Expire(now);
   this->copies.Expire(now);
-  this->Judge(now);
+  this->EvaluateEvidence(now);
   this->ledger.Expire(now);
   this->keeper.Tend();
 }
--- a/dogwoodvale/src/Gateway/CrashGuard.h
+++ b/dogwoodvale/src/Gateway/CrashGuard.h
@@ -8,24 +8,25 @@
 
 namespace dogwoodvale {
 
-/// Keeps requests that crash backend servers from them: finds out which servers
-/// ended, tells and hears it from the other gateways, and says which request
-/// may be sent. What is to be believed is CrashLedger's to decide.
+/// Quarantines requests that crash backend servers: detects crashed servers,
+/// exchanges the evidence with the other gateways, and decides whether a
+/// request may be sent. The evidence is evaluated by CrashLedger.
 ///
-/// Guards against one caller's request that ends each server that begins it and
-/// is sent again and again, under new ids, at any gateway: all that the servers
-/// run breaks off with them, and within seconds most of a service is away. With
-/// four gateways and twelve engines that come back after 0.4 s, 25 engines
-/// ended in 2 s and 79 to 88 of 100 notes of others were served afterwards;
-/// with this, 4 or 5 end and all 100 are served (three runs of CrashingRequest
-/// each).
+/// Guards against a request that crashes each server that starts it and that
+/// its caller retries, under new ids, at any gateway: each crash aborts
+/// everything else that the server runs, and within seconds most of a service
+/// is down. With four gateways and twelve engines that restart after 0.4 s, 25
+/// engines crashed within 2 s and 79 to 88 of 100 requests of others were
+/// served afterwards; with the guard, 4 or 5 crash and all 100 are served (test
+/// CrashingRequest, three runs each).
 class CrashGuard
 {
 public:
   struct Options
   {
-    /// Switched off, nothing is counted and nothing kept from servers.
+    /// If false, no evidence is collected and no request is held back.
     bool isOn = true;
+    /// How long a request stays quarantined.
     Duration quarantine = seconds(600);
   };
 
@@ -34,48 +35,59 @@
              StoreClient& aStore,
              Options aOptions);
 
-  /// Reads the quarantines that the store keeps.
+  /// Reads the quarantines that are stored.
   void Start();
 
   bool IsQuarantined(RequestFingerprint aRequest) const;
   bool IsSuspect(RequestFingerprint aRequest) const;
+  /// Time until the quarantine ends.
   Duration QuarantineLeft(RequestFingerprint aRequest) const;
-  /// Whether a suspect has to wait: a copy of it is under way, here or at a
-  /// gateway that has said so, or evidence against it is about to be heard.
-  /// \param aIsNew it has not been sent yet; what was goes on to the next
-  /// server without waiting for the verdict on the last.
+  /// Whether a suspect request has to wait: a duplicate of it is in flight,
+  /// here or at a gateway that reported so, or evidence against it is still
+  /// being collected.
+  /// \param aIsNew it has not been sent yet. A retry goes to the next server
+  /// without waiting for the verdict on the last one.
   bool HasToWait(RequestFingerprint aRequest, bool aIsNew) const;
 
   void OnSent(RequestFingerprint aRequest);
   void OnDone(RequestFingerprint aRequest);
-  /// A server has run it to a good end.
+  /// A server has completed the request.
   void OnAnswered(RequestFingerprint aRequest);
+  /// The connection broke before the answer was complete. The server is probed
+  /// after kAskAfter, to see whether it crashed.
   void OnBroken(const InstanceName& aInstance,
                 RequestFingerprint aRequest,
                 const BrokenAttempt& aBroken);
-  /// Another incarnation has the server's address.
+  /// Another incarnation has taken over the server's address.
   void OnReplaced(const InstanceName& aInstance);
-  /// The pool has a new list.
+  /// The list of backend servers in the pool has changed.
   void OnInstances();
 
+  /// Adds this gateway's evidence, verdicts and suspects in flight.
   void Tell(PeerDigest& aDigest) const;
   void Hear(const PeerDigest& aDigest);
+  /// Evaluates the evidence and expires old state. Call a few times a second.
   void Tend();
 
   const CrashLedger& Ledger() const { return this->ledger; }
-  std::uint64_t ServersEnded() const { return this->ended; }
+  std::uint64_t ServersEnded() const { return this->crashedCount; }
 
-  /// A process that ends closes its connections one by one and its listener
-  /// among them; asked in that moment it might still seem to take some.
+  /// Delay before a server is probed. A process that exits closes its
+  /// connections and its listener one by one, so that a probe at once might
+  /// still be accepted.
   static constexpr Duration kAskAfter = milliseconds(50);
 
 private:
-  /// Takes a verdict that the store keeps.
-  void TakeKept(const QuarantineVerdict& aVerdict);
-  void Ask();
-  void OnEnded(const InstanceName& aInstance, const char* aHow);
-  void Judge(TimePoint aNow);
-  /// Logs a change of the request's newest verdict. \return that.
+  /// Applies a verdict read from the store.
+  void OnStored(const QuarantineVerdict& aVerdict);
+  /// Probes the servers in toProbe.
+  void ProbeServers();
+  /// The server has crashed: its aborted requests become evidence.
+  /// \param aHow how that was detected, for the log.
+  void OnCrashed(const InstanceName& aInstance, const char* aHow);
+  /// Logs and stores the verdicts that follow from the evidence.
+  void EvaluateEvidence(TimePoint aNow);
+  /// Logs the request's newest verdict after a change. \return the verdict.
   QuarantineVerdict LogVerdict(RequestFingerprint aRequest,
                                std::string_view aFrom,
                                TimePoint aNow) const;
@@ -86,10 +98,10 @@
   BrokenRuns broken;
   CopiesUnderWay copies;
   QuarantineKeeper keeper;
-  /// Servers to be asked whether they still take connections.
-  std::vector<InstanceName> toAsk;
-  std::uint64_t ended = 0;
-  Timer askTimer;
+  /// Servers to be probed for whether they still accept connections.
+  std::vector<InstanceName> toProbe;
+  std::uint64_t crashedCount = 0;
+  Timer probeTimer;
 };
 
 } // namespace dogwoodvale
--- a/dogwoodvale/src/Gateway/Departures.cpp
+++ b/dogwoodvale/src/Gateway/Departures.cpp
@@ -12,17 +12,17 @@
   for (const auto& [name, instance] : aBefore) {
     const auto found = aAfter.find(name);
     if (found == aAfter.end() || found->second.leaving) {
-      this->left.try_emplace(name, aNow);
+      this->departedAt.try_emplace(name, aNow);
     }
   }
-  std::erase_if(this->left, [&](const auto& aItem) {
+  std::erase_if(this->departedAt, [&](const auto& aItem) {
     const auto found = aAfter.find(aItem.first);
     const bool isBack = found != aAfter.end() && !found->second.leaving;
     return isBack || Between(aItem.second, aNow) > kMemory;
   });
-  while (this->left.size() > kMost) {
-    this->left.erase(std::ranges::min_element(
-      this->left, {}, &std::pair<const InstanceName, TimePoint>::second));
+  while (this->departedAt.size() > kMost) {
+    this->departedAt.erase(std::ranges::min_element(
+      this->departedAt, {}, &std::pair<const InstanceName, TimePoint>::second));
   }
 }
 
@@ -33,7 +33,7 @@
     return;
   }
   std::erase_if(aRead, [this](const auto& aItem) {
-    return this->left.contains(aItem.first) && !aItem.second.leaving;
+    return this->departedAt.contains(aItem.first) && !aItem.second.leaving;
   });
 }
 
--- a/dogwoodvale/src/Gateway/Departures.h
+++ b/dogwoodvale/src/Gateway/Departures.h
@@ -7,34 +7,37 @@
 
 namespace dogwoodvale {
 
-/// Backend servers that have left, for as long as an older copy of the store
-/// may list them again.
+/// Remembers backend servers that have left, for as long as an older copy of
+/// the store may list them again.
 ///
-/// A store that comes back from a copy some seconds old has the entries of
-/// servers that have left since. Nobody renews them, so they lapse; until then
-/// requests would go to servers that said they take none.
+/// A store that is restored from a copy some seconds old has the entries of
+/// servers that have left since. Nobody renews them, so they expire; until then
+/// requests would be sent to servers that accept none.
 class Departures
 {
 public:
-  /// The list was \p aBefore and is \p aNow now.
+  /// The list changed from \p aBefore to \p aAfter.
   void OnChange(const Instances& aBefore,
                 const Instances& aAfter,
                 TimePoint aNow);
-  /// The store came back as an older copy: what has left is dropped from lists
-  /// until then.
+  /// The store was restored from an older copy: until then, DropGhosts()
+  /// removes servers that have left.
   void DistrustUntil(TimePoint aUntil) { this->distrustUntil = aUntil; }
   TimePoint DistrustedUntil() const { return this->distrustUntil; }
+  /// Removes the servers that have left from a list; does nothing after
+  /// DistrustedUntil().
   void DropGhosts(Instances& aRead, TimePoint aNow) const;
 
-  /// An entry that is not renewed lapses within this.
+  /// An entry that is not renewed expires within this.
   static constexpr Duration kGhostLife = seconds(6);
-  /// How old a copy of the store may be.
+  /// Greatest supported age of a copy of the store.
   static constexpr Duration kMemory = seconds(120);
-  /// Most that are remembered; the earliest are forgotten first.
+  /// Most servers that are remembered; the earliest are evicted first.
   static constexpr std::size_t kMost = 10'000;
 
 private:
-  std::map<InstanceName, TimePoint> left;
+  /// When each server left.
+  std::map<InstanceName, TimePoint> departedAt;
   TimePoint distrustUntil{};
 };
 
--- a/dogwoodvale/src/Gateway/DirectoryKeeper.cpp
+++ b/dogwoodvale/src/Gateway/DirectoryKeeper.cpp
@@ -11,12 +11,12 @@
 
 namespace {
 
-/// The same for lists with equal entries.
+/// Checksum of a list; never 0.
 std::uint64_t
-SumOf(std::span<const DirectInstance> aRead,
-      const std::map<std::string, std::string>& aRejected)
+ChecksumOf(std::span<const DirectInstance> aRead,
+           const std::map<std::string, std::string>& aRejected)
 {
-  // The store tells entries in the order of their keys.
+  // Entries come from the store in the order of their keys.
   std::string text;
   for (const DirectInstance& one : aRead) {
     text += fmt::format("{} {} {} {} {} {}\n",
@@ -49,7 +49,7 @@
            [this](std::shared_ptr<const RouteTable> aRoutes) {
              this->observer.OnRoutes(std::move(aRoutes));
            })
-  , instancesTimer(aLoop, [this] { this->ReadWhereDue(); })
+  , instancesTimer(aLoop, [this] { this->ReadIfDue(); })
   , roster(aLoop,
            aStore,
            this->options.self,
@@ -72,7 +72,7 @@
 DirectoryKeeper::Refresh()
 {
   this->routes.Rearm();
-  // Begun before, it would be taken for fresh when it ends.
+  // A read begun before the suspension would count as fresh when it ends.
   this->instancesCall.reset();
   this->ReadInstances();
 }
@@ -92,7 +92,7 @@
 }
 
 void
-DirectoryKeeper::ReadWhereDue()
+DirectoryKeeper::ReadIfDue()
 {
   const Duration left = this->UntilDue(Now());
   if (left <= Duration::zero()) {
@@ -107,13 +107,14 @@
 {
   const TimePoint readAt = aNow - aList.age;
   const bool isComparable =
-    this->options.sharesReads && aList.sum != 0 && this->listSum != 0;
-  // What is kept beside the list for a while goes with a read of its own.
-  const bool keepsMore = this->mergedAt < this->GraceEnd();
-  if (!isComparable || keepsMore || readAt <= this->instancesReadAt) {
+    this->options.sharesReads && aList.sum != 0 && this->listChecksum != 0;
+  // Entries that are kept beyond the store's list are dropped only by an own
+  // read, so it must not be postponed.
+  const bool keepsExtraEntries = this->mergedAt < this->GraceEnd();
+  if (!isComparable || keepsExtraEntries || readAt <= this->instancesReadAt) {
     return;
   }
-  if (aList.sum == this->listSum) {
+  if (aList.sum == this->listChecksum) {
     this->instancesReadAt = readAt;
     this->behindSince.reset();
     return;
@@ -136,7 +137,7 @@
 ListStamp
 DirectoryKeeper::List(TimePoint aNow) const
 {
-  return { this->listSum,
+  return { this->listChecksum,
            std::chrono::ceil<milliseconds>(Between(this->ownReadAt, aNow)) };
 }
 
@@ -156,9 +157,11 @@
   RangeQuery query;
   query.key = this->format.InstancesPrefix();
   query.isPrefix = true;
-  // When all gateways start at once, their reads of a long list are more than
-  // the store serves in a second; those that it turns away have no server to
-  // send to. A list that is seconds old does until the next read, which is not.
+  // The first read may be stale, which is cheaper for the store: when all
+  // gateways start at once, it can't serve their consistent reads of a long
+  // list within a second, and a gateway whose read it rejects has no server to
+  // send to. A list that is seconds old suffices until the next read, which is
+  // consistent.
   query.allowStale = !this->HasInstances();
   this->instancesCall = this->store.Range(
     query,
@@ -176,10 +179,11 @@
     return;
   }
   const TimePoint since = aNow - aContact;
-  const bool isOld = Between(this->othersHeardAt, aNow) > kOthersWordLife;
-  if (isOld || since <= this->othersContactSince) {
-    this->othersContactSince = since;
-    this->othersHeardAt = aNow;
+  const bool isExpired =
+    Between(this->peerContactHeardAt, aNow) > kOthersWordLife;
+  if (isExpired || since <= this->peerContactSince) {
+    this->peerContactSince = since;
+    this->peerContactHeardAt = aNow;
   }
 }
 
@@ -192,23 +196,25 @@
 }
 
 bool
-DirectoryKeeper::WasAwayForOthers(TimePoint aNow) const
+DirectoryKeeper::WasDownForPeers(TimePoint aNow) const
 {
-  const bool hasWord = Between(this->othersHeardAt, aNow) <= kOthersWordLife;
-  return !hasWord || this->othersContactSince > this->lastAnswerAt;
+  const bool hasReport =
+    Between(this->peerContactHeardAt, aNow) <= kOthersWordLife;
+  return !hasReport || this->peerContactSince > this->lastAnswerAt;
 }
 
 void
-DirectoryKeeper::NoteStore(bool aAnswers,
-                           std::string_view aReason,
-                           TimePoint aNow)
+DirectoryKeeper::OnStoreAnswer(bool aAnswers,
+                               std::string_view aReason,
+                               TimePoint aNow)
 {
   if (aAnswers && !this->storeAnswers) {
     this->contactSince = aNow;
-    // A store that served another gateway all the while has let no entry
-    // lapse: what is missing has left. Keeping it would send requests to
-    // servers that said they leave while only this machine was turned away.
-    if (this->WasAwayForOthers(aNow)) {
+    // If the store has served another gateway throughout, no entry has expired
+    // because of an outage: missing servers have left. Keeping them would send
+    // requests to servers that announced their departure while only this
+    // machine was cut off.
+    if (this->WasDownForPeers(aNow)) {
       this->keepMissingUntil = aNow + kReturnGrace;
     }
   }
@@ -233,7 +239,7 @@
                                  bool aMayBeOld)
 {
   const TimePoint now = Now();
-  this->NoteStore(aResult.ok(), MessageOf(aResult.status()), now);
+  this->OnStoreAnswer(aResult.ok(), MessageOf(aResult.status()), now);
   if (!aResult.ok()) {
     return;
   }
@@ -256,7 +262,7 @@
   this->instancesReadAt = now;
   this->ownReadAt = now;
   this->behindSince.reset();
-  this->listSum = aMayBeOld ? 0 : SumOf(read, this->rejected);
+  this->listChecksum = aMayBeOld ? 0 : ChecksumOf(read, this->rejected);
   this->MergeInstances(std::move(read), now);
 }
 
@@ -264,8 +270,8 @@
 DirectoryKeeper::NoteRejected(const KeyValue& aValue,
                               const absl::Status& aReason)
 {
-  // The list is read more than once a second; one line for each change is
-  // enough.
+  // The list is read more than once a second, so an entry is logged only when
+  // it changes.
   const auto known = this->rejected.find(aValue.key);
   if (known != this->rejected.end() && known->second == aValue.value) {
     return;
@@ -293,10 +299,10 @@
   this->starts = LatestStarts(this->starts, aRead);
   Instances merged = LatestIncarnations(this->starts, std::move(aRead));
   this->departures.DropGhosts(merged, aNow);
-  // Entries may lapse while the store is away though their servers live. They
-  // are back soon after its return; until then what is missing is kept.
+  // Entries of live servers may expire while the store is unavailable. They are
+  // written again soon after it recovers; until then missing ones are kept.
   if (aNow < this->keepMissingUntil) {
-    // One that is there but can't be read has not lapsed: it names no server.
+    // A malformed entry has not expired; its server is not kept.
     KeepMissing(merged, this->instances, [this](const DirectInstance& aOne) {
       return this->IsRejected(aOne);
     });
@@ -371,8 +377,8 @@
   if (!this->HasInstances() || aEra == before) {
     return;
   }
-  // What lives writes its entry again; what has left since the copy was made is
-  // back for as long as its entry takes to lapse.
+  // Live servers write their entries again. Entries of servers that have left
+  // since the copy was made reappear until they expire.
   this->keepMissingUntil = aNow + kReturnGrace;
   this->departures.DistrustUntil(aNow + Departures::kGhostLife);
 }
@@ -414,7 +420,7 @@
       "age_ms",
       list->age.count());
   this->instancesReadAt = readAt;
-  this->listSum = 0;
+  this->listChecksum = 0;
   this->behindSince.reset();
   this->MergeInstances(std::move(list->instances), now);
 }
--- a/dogwoodvale/src/Gateway/DirectoryKeeper.h
+++ b/dogwoodvale/src/Gateway/DirectoryKeeper.h
@@ -14,31 +14,32 @@
 
 namespace dogwoodvale {
 
-/// Is told what the keeper has learned.
+/// Receives the updates of a DirectoryKeeper.
 class DirectoryObserver
 {
 public:
   virtual ~DirectoryObserver() = default;
-  /// A higher version than any before.
+  /// Called once for each version that is higher than all before.
   virtual void OnRoutes(std::shared_ptr<const RouteTable> aRoutes) = 0;
   virtual void OnInstances(std::span<const DirectInstance> aInstances) = 0;
   virtual void OnGateways(std::span<const GatewayMember> aGateways) = 0;
 };
 
-/// Keeps what the store tells: routes (watched, see RoutesKeeper), backend
-/// servers (read at a pace), and the gateways themselves, see GatewayRoster.
+/// Local copy of the directory in the store: routes (watched, see
+/// RoutesKeeper), backend servers (polled), and gateways (see GatewayRoster).
 ///
-/// Backend servers are read and not watched: each of them writes a heartbeat
-/// every second or so, and a watch would return for each one.
+/// Backend servers are polled rather than watched: each writes a heartbeat
+/// about once a second, and a watch would deliver an event for every one.
 class DirectoryKeeper
 {
 public:
   struct Options
   {
     GatewayMember self;
-    /// How old the list of backend servers may get.
+    /// Target age at which the list of backend servers is read again.
     Duration instanceReadPeriod = milliseconds(800);
-    /// Whether gateways with the same list read it for each other.
+    /// Whether a read by another gateway with the same list postpones the next
+    /// read of this one.
     bool sharesReads = true;
   };
 
@@ -49,78 +50,98 @@
                   DirectoryObserver& aObserver);
 
   void Start();
-  /// Asks the store anew, e.g. after the process was suspended.
+  /// Rearms the watch and reads the list again, e.g. after the process was
+  /// suspended.
   void Refresh();
-  /// Ends this gateway's own entry.
+  /// Removes this gateway's own entry from the store.
   void Leave();
 
-  /// Takes another gateway's list, if it is newer than this one's.
+  /// Applies another gateway's list of backend servers (see
+  /// WriteInstanceList()) if it is newer than this one's. Logs and ignores a
+  /// malformed one.
+  /// \param aFrom the sender, for the log.
   void TakeInstances(std::string_view aDocument, std::string_view aFrom);
-  /// Another gateway has this list from the store. Where it is this one's too,
-  /// it need not be read again so soon; where it is newer, it is read now.
+  /// Another gateway has read this list from the store. If its checksum is that
+  /// of the list here, the next read is postponed; if it is another and newer
+  /// list, a read is scheduled within kChangeSpread.
   void NoteOthersList(const ListStamp& aList, TimePoint aNow);
-  /// Of the last read of this gateway's own. What others told is not passed on:
-  /// with each hop it would look younger by the time that the word was under
-  /// way, and never age.
+  /// Checksum and age of this gateway's own last read. An age that another
+  /// gateway reported is not forwarded: each hop would make the list look
+  /// younger by the network delay, so that it would never age.
   ListStamp List(TimePoint aNow) const;
-  /// Whether gateways read for each other. In a large fleet all would read at
-  /// once after each change, more than the store serves in time.
+  /// Sets Options::sharesReads. It is off in a large fleet, where all gateways
+  /// would read at once after each change, more than the store can serve in
+  /// time.
   void SetSharing(bool aShares) { this->options.sharesReads = aShares; }
-  /// Whether a newer list is known to be there and was not had for a while.
+  /// Whether a newer list has been known of for longer than kBehindFor without
+  /// being read.
   bool IsBehind(TimePoint aNow) const;
-  /// Backend servers that were listed a moment ago, for a start beside a store
-  /// that was away: entries that lapsed with it are back within kReturnGrace.
+  /// Backend servers that were listed shortly before this process started.
+  /// Used for kReturnGrace after the first read, in case the store was
+  /// unavailable: entries that expired during the outage are written again
+  /// within that time. See kLostShare.
   void TakeHints(std::span<const DirectInstance> aHints, TimePoint aNow);
   GatewayRoster& Roster() { return this->roster; }
+  /// The backend servers in force.
   std::vector<DirectInstance> Listed() const;
 
   RoutesKeeper& Routes() { return this->routes; }
   const RoutesKeeper& Routes() const { return this->routes; }
-  /// Another gateway has had the store's answers without a break for so long.
+  /// Another gateway reports for how long the store has answered it without a
+  /// failure.
   void NoteOthersContact(Duration aContact, TimePoint aNow);
-  /// For how long the store has answered without a break; zero while it does
-  /// not.
+  /// For how long the store has answered this gateway without a failure; zero
+  /// while it does not answer.
   Duration StoreContact(TimePoint aNow) const;
+  /// The list in force and its age, as TakeInstances() reads it.
   std::string InstancesDocument(TimePoint aNow) const;
-  /// Since the store last answered a read of the instances.
+  /// Time since the store was last known to have the list that is here.
   Duration InstancesAge(TimePoint aNow) const;
-  /// Entries of backend servers that could not be read, at the last read.
+  /// Number of malformed entries of backend servers in the last read.
   std::size_t RejectedCount() const { return this->rejected.size(); }
   bool HasInstances() const { return this->instancesReadAt != TimePoint{}; }
 
-  /// How long after the store's return an entry that lapsed with it may be
-  /// missing though its server lives.
+  /// After the store recovers, how long the entry of a live server may still be
+  /// missing because it expired during the outage.
   static constexpr Duration kReturnGrace = milliseconds(2200);
-  /// What another gateway said of its contact counts for this long.
+  /// How long another gateway's report of its contact with the store is valid.
   static constexpr Duration kOthersWordLife = seconds(1);
-  /// How long a newer list may be missed until other gateways are asked for it.
+  /// How long to wait for the store to deliver a newer list before it is
+  /// requested from other gateways.
   static constexpr Duration kBehindFor = milliseconds(300);
-  /// Reads that a change makes necessary are spread over this.
+  /// Jitter of the reads that follow a change of the list.
   static constexpr Duration kChangeSpread = milliseconds(100);
-  /// However fresh others say that the list is, a gateway reads it by itself
-  /// within so many periods: their word may have been under way for long.
+  /// Longest time between two own reads, in periods, however fresh the list is
+  /// by the reports of other gateways: these may have been delayed.
   static constexpr double kMostPeriods = 1.5;
-  /// Hints are for a store that has lost entries, not for servers that have
-  /// left: they count where at least this share of them is missing.
+  /// Hints are used only if at least this share of them is missing from the
+  /// store's list: they replace entries that the store has lost, not servers
+  /// that have left.
   static constexpr double kLostShare = 0.1;
 
 private:
   void ReadInstances();
-  void ReadWhereDue();
-  /// Until the list is to be read; zero or less where it is due.
+  void ReadIfDue();
+  /// Time until the next read of the list; zero or less if it is due.
   Duration UntilDue(TimePoint aNow) const;
+  /// \param aMayBeOld whether the read was served from a possibly stale
+  /// replica.
   void OnInstancesRead(const absl::StatusOr<RangeResult>& aResult,
                        bool aMayBeOld);
   void NoteRejected(const KeyValue& aValue, const absl::Status& aReason);
   bool IsRejected(const DirectInstance& aInstance) const;
   void MergeInstances(std::vector<DirectInstance> aRead, TimePoint aNow);
-  /// Until when more or less than the store's list is in force.
+  /// Until when the list in force may differ from the store's.
   TimePoint GraceEnd() const;
   void AddHints(Instances& aMerged, TimePoint aNow) const;
-  /// The store came back as an older copy of itself.
+  /// Handles the era of a read; a change means that the store was restored from
+  /// an older copy.
   void OnEra(StoreEra aEra, TimePoint aNow);
-  void NoteStore(bool aAnswers, std::string_view aReason, TimePoint aNow);
-  bool WasAwayForOthers(TimePoint aNow) const;
+  /// Records whether the store answered, and logs a change.
+  void OnStoreAnswer(bool aAnswers, std::string_view aReason, TimePoint aNow);
+  /// Whether the store was, as far as is known, unavailable to every gateway
+  /// and not only to this one.
+  bool WasDownForPeers(TimePoint aNow) const;
 
   StoreClient& store;
   const DirectoryFormat& format;
@@ -133,31 +154,32 @@
   std::mt19937_64 random;
   Instances instances;
   IncarnationStarts starts;
-  /// Entries of the last read that name no server to use, with their values.
+  /// Malformed entries of the last read: value by key.
   std::map<std::string, std::string> rejected;
   Instances hints;
   TimePoint hintsUntil{};
   Departures departures;
-  /// Of the last read.
+  /// Era of the store at the last read.
   StoreEra era = 0;
-  /// When the store was last known to have just the list that is here.
+  /// When the store was last known to have exactly the list that is here.
   TimePoint instancesReadAt{};
   /// When this gateway last read it from the store.
   TimePoint ownReadAt{};
-  /// Of the list that the store told; 0 where it was told by others or may be
-  /// old.
-  std::uint64_t listSum = 0;
-  /// When a newer list was first heard of that is not here yet.
+  /// Checksum of the list as read from the store; 0 if the list came from
+  /// another gateway or from a possibly stale read.
+  std::uint64_t listChecksum = 0;
+  /// Since when a newer list is known of that is not here yet.
   std::optional<TimePoint> behindSince;
-  /// Until then, what is missing from the list is kept.
+  /// Until then, servers that are missing from a read stay listed.
   TimePoint keepMissingUntil{};
   TimePoint mergedAt{};
-  /// When reads began to succeed without a break.
+  /// Since when all reads have succeeded.
   TimePoint contactSince{};
   TimePoint lastAnswerAt{};
-  /// The same of the gateway that has had contact longest, and when it said so.
-  TimePoint othersContactSince{};
-  TimePoint othersHeardAt{};
+  /// The same for the gateway with the longest contact, and when it reported
+  /// it.
+  TimePoint peerContactSince{};
+  TimePoint peerContactHeardAt{};
   bool storeAnswers = true;
 };
 
--- a/dogwoodvale/src/Gateway/GatewayRoster.cpp
+++ b/dogwoodvale/src/Gateway/GatewayRoster.cpp
@@ -14,7 +14,7 @@
   : store(aStore)
   , self(std::move(aSelf))
   , handler(std::move(aHandler))
-  , timer(aLoop, [this] { this->Tend(); })
+  , timer(aLoop, [this] { this->OnTimer(); })
 {
 }
 
@@ -22,11 +22,11 @@
 GatewayRoster::Start()
 {
   this->startedAt = Now();
-  this->Tend();
+  this->OnTimer();
 }
 
 void
-GatewayRoster::Tend()
+GatewayRoster::OnTimer()
 {
   if (this->leaving) {
     return;
@@ -35,7 +35,8 @@
   const bool isStarting = Between(this->startedAt, now) < kStartTakes;
   this->timer.StartOnce(isStarting ? kPeriodAtStart : kPeriod);
   if (this->leaseCall == nullptr) {
-    // A lease of an earlier era is gone, and its number may be another's.
+    // A lease of an earlier era of the store no longer exists, and its id may
+    // have been reassigned.
     if (this->lease == 0 || this->leaseEra != this->store.Era()) {
       this->Join();
     } else if (!isStarting) {
@@ -76,8 +77,8 @@
     this->store.Commit(transaction, [this](const WriteResult& aResult) {
       const std::unique_ptr<StoreCall> ended = std::move(this->leaseCall);
       if (aResult.outcome != WriteOutcome::Applied) {
-        // Joins anew with the next period; a write that took effect after all
-        // only names this gateway twice under one key.
+        // Joins again in the next period. If this write took effect after all,
+        // that only overwrites the same key.
         this->lease = 0;
       }
     });
@@ -101,7 +102,8 @@
   RangeQuery query;
   query.key = kPrefix;
   query.isPrefix = true;
-  // Seconds of age do no harm here, and such a read is cheap for the store.
+  // A list that is seconds old does no harm here, and a stale read is cheap for
+  // the store.
   query.allowStale = true;
   this->readCall = this->store.Range(
     query, [this](const absl::StatusOr<RangeResult>& aResult) {
--- a/dogwoodvale/src/Gateway/GatewayRoster.h
+++ b/dogwoodvale/src/Gateway/GatewayRoster.h
@@ -14,47 +14,52 @@
 struct GatewayMember
 {
   InstanceName name;
-  /// Where it talks with other gateways, by datagrams and by TCP.
+  /// Where it communicates with other gateways, by UDP and TCP.
   SocketAddress peers;
 
   bool operator==(const GatewayMember&) const = default;
 };
 
-/// The gateways of a site: each keeps one key in the store under a lease.
+/// The gateways of a site: registers this one as a key in the store under a
+/// lease, and polls the keys of all.
 class GatewayRoster
 {
 public:
   using Handler = std::function<void(std::span<const GatewayMember>)>;
 
-  /// \param aHandler is told of each change.
+  /// \param aHandler is called with the whole list at each change.
   GatewayRoster(EventLoop& aLoop,
                 StoreClient& aStore,
                 GatewayMember aSelf,
                 Handler aHandler);
 
   void Start();
-  /// Ends this gateway's own entry.
+  /// Stops the polling and revokes this gateway's lease, which removes its
+  /// entry.
   void Leave();
-  /// Gateways that were there a moment ago. When all start again together, each
-  /// is read only once it has joined; until they had time to, these count too.
+  /// Gateways that were present before this process started. If all gateways
+  /// restart together, each is listed only once it has joined; for the first
+  /// kStartDuration these are listed too.
   void TakeHints(std::span<const GatewayMember> aHints, TimePoint aNow);
 
   std::span<const GatewayMember> Members() const { return this->members; }
 
   static constexpr Duration kLeaseTtl = seconds(6);
+  /// Period of the renewals and reads.
   static constexpr Duration kPeriod = seconds(2);
-  /// The same until a start is over: others join in these seconds.
+  /// The same during the first kStartDuration, when other gateways may join.
   static constexpr Duration kPeriodAtStart = milliseconds(400);
   static constexpr Duration kStartTakes = seconds(4);
   static constexpr std::string_view kPrefix = "dogwoodvale/gateways/";
 
 private:
-  void Tend();
+  void OnTimer();
   void Join();
   void PutSelf();
   void Renew();
   void Read();
   void OnRead(const RangeResult& aResult);
+  /// Reports the list to the handler if it has changed.
   void Announce(TimePoint aNow);
 
   StoreClient& store;
@@ -62,9 +67,11 @@
   Handler handler;
   std::unique_ptr<StoreCall> leaseCall;
   std::unique_ptr<StoreCall> readCall;
+  /// As last read from the store.
   std::vector<GatewayMember> read;
   std::vector<GatewayMember> hints;
   std::vector<GatewayMember> members;
+  /// 0 while there is none.
   LeaseId lease = 0;
   StoreEra leaseEra = 0;
   TimePoint startedAt{};
--- a/dogwoodvale/src/Gateway/Incarnations.cpp
+++ b/dogwoodvale/src/Gateway/Incarnations.cpp
@@ -27,8 +27,8 @@
   Instances found;
   for (DirectInstance& instance : aRead) {
     const std::uint64_t started = aLatest.at(instance.server);
-    // A gateway of an older version doesn't tell the start; it is the one that
-    // is known here.
+    // Gateways of an older version don't send the start; the known one is
+    // assumed.
     if (instance.started == 0) {
       instance.started = started;
       instance.name = IncarnationName(instance.server.Value(), started);
--- a/dogwoodvale/src/Gateway/Incarnations.h
+++ b/dogwoodvale/src/Gateway/Incarnations.h
@@ -10,28 +10,29 @@
 
 namespace dogwoodvale {
 
-/// When the latest known incarnation of each server began, by the name that the
-/// server goes by.
+/// Start of the latest known incarnation of each server
+/// (DirectInstance::started), by the name of the server.
 using IncarnationStarts = std::map<InstanceName, std::uint64_t>;
 
 /// Backend servers by the name of their incarnation.
 using Instances = std::map<InstanceName, DirectInstance>;
 
-/// When the latest incarnation of each server that was read began.
-/// \param aKnown the same until now.
+/// Start of the latest incarnation of each server in \p aRead.
+/// \param aKnown the starts known so far.
 IncarnationStarts
 LatestStarts(const IncarnationStarts& aKnown,
              std::span<const DirectInstance> aRead);
 
-/// The latest incarnation of each server that was read. A list that is read
-/// late, or told by another gateway, may still have the one before: sending to
-/// it would undo what is known of its successor.
+/// The latest incarnation of each server in \p aRead. A stale read, or another
+/// gateway's list, may still have the previous one; using it would discard what
+/// is known of its successor.
+/// \param aLatest must have each server of \p aRead, see LatestStarts().
 Instances
 LatestIncarnations(const IncarnationStarts& aLatest,
                    std::vector<DirectInstance> aRead);
 
-/// Adds what \p aKnown has of servers that \p aMerged lacks.
-/// \param aIsGone entries that are not kept.
+/// Adds the entries of \p aKnown whose servers are missing from \p aMerged.
+/// \param aIsGone whether an entry is left out.
 void
 KeepMissing(Instances& aMerged,
             const Instances& aKnown,
--- a/dogwoodvale/src/Gateway/PeerDigest.cpp
+++ b/dogwoodvale/src/Gateway/PeerDigest.cpp
@@ -8,11 +8,10 @@
 
 namespace {
 
-/// A digest that claims more is refused before memory is given to it.
+/// A digest that declares more items is rejected before memory is allocated.
 constexpr std::size_t kMaxItems = 65'536;
 
-/// A gateway of an older version sends the first four fields alone, and reads
-/// no more than these.
+/// Gateways of an older version send and read only the first four fields.
 struct PackedWork
 {
   std::string instance;
@@ -20,7 +19,7 @@
   std::uint64_t prefill = 0;
   std::uint64_t memory = 0;
   std::uint32_t interactive = 0;
-  /// Without zeros at the end, as the next.
+  /// By rank, without trailing zeros; so is requestsByRank.
   std::vector<std::uint64_t> prefillByRank;
   std::vector<std::uint32_t> requestsByRank;
 
@@ -35,7 +34,7 @@
 
 template<class Number>
 std::vector<Number>
-WithoutLastZeros(std::span<const Number> aNumbers)
+WithoutTrailingZeros(std::span<const Number> aNumbers)
 {
   while (!aNumbers.empty() && aNumbers.back() == 0) {
     aNumbers = aNumbers.first(aNumbers.size() - 1);
@@ -47,14 +46,15 @@
 Pack(const WorkLine& aLine)
 {
   const BackendWork& work = aLine.work;
-  return { aLine.instance.Value(),
-           work.requests,
-           work.Prefill(),
-           work.memoryTokens,
-           work.interactive,
-           WithoutLastZeros(std::span<const std::uint64_t>(work.prefillTokens)),
-           WithoutLastZeros(
-             std::span<const std::uint32_t>(work.requestsByRank)) };
+  return {
+    aLine.instance.Value(),
+    work.requests,
+    work.Prefill(),
+    work.memoryTokens,
+    work.interactive,
+    WithoutTrailingZeros(std::span<const std::uint64_t>(work.prefillTokens)),
+    WithoutTrailingZeros(std::span<const std::uint32_t>(work.requestsByRank))
+  };
 }
 
 WorkLine
@@ -66,7 +66,8 @@
   line.work.memoryTokens = aPacked.memory;
   line.work.interactive = aPacked.interactive;
   if (aPacked.prefillByRank.empty()) {
-    // Told without ranks, if there is any: it may be ahead of anything.
+    // Sent without ranks: the rank is unknown, so it counts as rank 0, which
+    // may be ahead of any request.
     line.work.PrefillAt(0) = aPacked.prefill;
   }
   for (std::size_t rank = 0; rank < aPacked.prefillByRank.size(); ++rank) {
@@ -80,14 +81,13 @@
   return line;
 }
 
-/// A gateway of an older version sends the first three fields alone, and reads
-/// no more than these.
+/// Gateways of an older version send and read only the first three fields.
 struct PackedPrompt
 {
   std::string instance;
   std::vector<std::uint64_t> steps;
   std::uint32_t longTokens = 0;
-  /// Of each step.
+  /// Token count of each step.
   std::vector<std::uint32_t> tokens;
 
   MSGPACK_DEFINE_ARRAY(instance, steps, longTokens, tokens);
@@ -166,8 +166,8 @@
   MSGPACK_DEFINE_ARRAY(server, ageMillis);
 };
 
-/// A gateway of an older version sends and reads the first fields alone, as
-/// many as it knows.
+/// A gateway of an older version sends and reads only the leading fields that
+/// it knows.
 struct PackedDigest
 {
   std::string gateway;
@@ -184,7 +184,7 @@
   std::int64_t listAgeMillis = 0;
   std::int64_t timeOfDayMillis = 0;
   std::int64_t trueTimeMillis = 0;
-  bool holdsUsageDuty = false;
+  bool isUsageReporter = false;
   std::vector<PackedNews> usage;
   std::vector<PackedRate> rates;
   std::vector<PackedLeaving> leaving;
@@ -203,7 +203,7 @@
                        listAgeMillis,
                        timeOfDayMillis,
                        trueTimeMillis,
-                       holdsUsageDuty,
+                       isUsageReporter,
                        usage,
                        rates,
                        leaving);
@@ -251,7 +251,7 @@
 {
   aPacked.timeOfDayMillis = aWord.timeOfDay.count();
   aPacked.trueTimeMillis = aWord.trueTime.count();
-  aPacked.holdsUsageDuty = aWord.holdsDuty;
+  aPacked.isUsageReporter = aWord.holdsDuty;
   for (const UsageNews& news : aWord.counts) {
     PackedNews packed{ news.window, news.total, {} };
     for (const auto& [customer, count] : news.counts) {
@@ -267,7 +267,7 @@
   UsageWord word;
   word.timeOfDay = milliseconds(aPacked.timeOfDayMillis);
   word.trueTime = milliseconds(aPacked.trueTimeMillis);
-  word.holdsDuty = aPacked.holdsUsageDuty;
+  word.holdsDuty = aPacked.isUsageReporter;
   for (const PackedNews& packed : aPacked.usage) {
     UsageNews news{ packed.window, packed.total, {} };
     for (const auto& [customer, count] : packed.counts) {
@@ -352,12 +352,13 @@
 ReadDigest(std::string_view aBytes, std::string_view aSecret)
 {
   if (aBytes.size() <= kKeyedDigestBytes) {
-    return absl::InvalidArgumentError("a digest that is too short");
+    return absl::InvalidArgumentError("the digest is too short");
   }
   const std::string_view packed = aBytes.substr(kKeyedDigestBytes);
   const std::string proof = KeyedDigest(packed, aSecret);
   if (CRYPTO_memcmp(proof.data(), aBytes.data(), kKeyedDigestBytes) != 0) {
-    return absl::PermissionDeniedError("a digest made with another secret");
+    return absl::PermissionDeniedError(
+      "the digest was made with another secret");
   }
   PackedDigest read;
   try {
--- a/dogwoodvale/src/Gateway/PeerDigest.h
+++ b/dogwoodvale/src/Gateway/PeerDigest.h
@@ -12,75 +12,82 @@
 
 namespace dogwoodvale {
 
-/// A prompt that a gateway has just sent to a backend server, whose cache will
-/// hold these steps.
+/// A prompt that a gateway has just sent to a backend server, whose prefix
+/// cache will hold these steps.
 struct RoutedPrompt
 {
   InstanceName instance;
-  /// Tokens are 0 where a gateway of an older version does not tell them.
+  /// The token counts are 0 if sent by a gateway of an older version.
   std::vector<PromptStep> steps;
-  /// What the server has to read of it if it is long, else 0.
+  /// Tokens that the server has to prefill if the prompt is long, else 0.
   std::uint32_t longTokens = 0;
 };
 
-/// Which list of backend servers a gateway has from the store.
+/// Identifies the list of backend servers that a gateway has read.
 struct ListStamp
 {
-  /// The same for equal lists; 0 where there is none.
+  /// Checksum: equal for equal lists; 0 if there is no list.
   std::uint64_t sum = 0;
-  /// Since the store was known to have just this list.
+  /// Time since the store was known to have exactly this list.
   milliseconds age{ 0 };
 };
 
-/// What a gateway tells of the usage duty.
+/// The part of a digest that concerns usage reports.
 struct UsageWord
 {
-  /// Since 1970, by its own clock and as the gateways agree on it; 0 where it
-  /// tells none.
+  /// Since 1970 by the sender's own clock; 0 if it reports no usage.
   milliseconds timeOfDay{ 0 };
+  /// Since 1970 by the time on which the gateways agree.
   milliseconds trueTime{ 0 };
+  /// Whether the sender is the one that reports usage.
   bool holdsDuty = false;
   std::vector<UsageNews> counts;
 };
 
-/// What a gateway tells the others, a few times a second, in one datagram. It
-/// replaces what the same lifetime of that gateway told before.
+/// State that a gateway sends to the others a few times a second, in one
+/// datagram. It replaces earlier digests of the same incarnation.
 struct PeerDigest
 {
   InstanceName gateway;
   Incarnation incarnation = 0;
-  /// Rises with each digest of one lifetime, so that one that was overtaken is
-  /// told from a newer one.
+  /// Rises with each digest of an incarnation, so that receivers can discard
+  /// reordered ones.
   std::uint64_t sequence = 0;
-  /// Version of the routes in force there.
+  /// Version of the routes in force at the sender.
   Epoch routesVersion = 0;
-  /// For how long the store has answered it without a break; zero while it
-  /// does not.
+  /// For how long the store has answered the sender without a failure; zero
+  /// while it does not answer.
   milliseconds storeContact{ 0 };
+  /// Load that the sender has placed on each backend server.
   std::vector<WorkLine> work;
+  /// Prompts sent since the last digest.
   std::vector<RoutedPrompt> routed;
   CrashNews crashes;
-  /// Suspects of which a copy is at a server now, sent by this gateway.
+  /// Suspect requests that the sender has in flight.
   std::vector<RequestFingerprint> suspectsUnderWay;
-  /// The list of backend servers that it has from the store.
+  /// The list of backend servers that the sender has read from the store.
   ListStamp list;
-  /// What it tells of the usage duty, where there is one.
+  /// Empty if no usage is reported.
   UsageWord usage;
-  /// Rates that backend servers have named in their answers.
+  /// Rate limits that backend servers have stated in their answers.
   std::vector<RateNews> rates;
-  /// Backend servers that have said in an answer that they leave.
+  /// Backend servers that have announced their departure in an answer.
   std::vector<LeavingNews> leaving;
 };
 
-/// \param aSecret shared by all gateways; a digest made with another is refused
-/// by ReadDigest().
+/// Serialises and authenticates a digest.
+/// \param aSecret shared by all gateways; ReadDigest() rejects a digest that
+/// was made with another one.
 std::string
 WriteDigest(const PeerDigest& aDigest, std::string_view aSecret);
 
+/// \return InvalidArgument for bytes that are no digest, PermissionDenied for
+/// one that was made with another secret.
 absl::StatusOr<PeerDigest>
 ReadDigest(std::string_view aBytes, std::string_view aSecret);
 
-/// Proof of knowing the secret for one text, in hexadecimal.
+/// Keyed hash of a text, in hexadecimal: proves that its sender knows the
+/// secret.
 std::string
 ProofOf(std::string_view aText, std::string_view aSecret);
 
--- a/dogwoodvale/src/Gateway/PeerDocuments.cpp
+++ b/dogwoodvale/src/Gateway/PeerDocuments.cpp
@@ -31,7 +31,7 @@
   instance.dataCentre = DataCentreName(fields.Text("data_centre"));
   instance.slots = fields.Count("slots");
   instance.leaving = fields.Flag("leaving");
-  // Gateways of an older version don't tell it.
+  // Gateways of an older version don't send it.
   instance.started = fields.Whole("started_ms");
   if (!fields.Status().ok()) {
     return fields.Status();
--- a/dogwoodvale/src/Gateway/PeerDocuments.h
+++ b/dogwoodvale/src/Gateway/PeerDocuments.h
@@ -10,10 +10,10 @@
 
 namespace dogwoodvale {
 
-/// The backend servers as one gateway tells them to another.
+/// The list of backend servers that one gateway sends to another.
 struct InstanceList
 {
-  /// Since the store last told them.
+  /// Time since the list was read from the store.
   milliseconds age{ 0 };
   std::vector<DirectInstance> instances;
 };
@@ -21,15 +21,17 @@
 std::string
 WriteInstanceList(const InstanceList& aList);
 
-/// \return DataLoss for what no gateway of this version writes. Nothing of it
-/// is taken then: half a list would look like servers that have left.
+/// \return DataLoss for a document that no gateway of this version writes. It
+/// is rejected as a whole: missing servers would be taken for ones that have
+/// left.
 absl::StatusOr<InstanceList>
 ReadInstanceList(std::string_view aText);
 
-/// A gateway's own entry in the store: where others reach it.
+/// A gateway's entry in the store: the address at which others reach it.
 std::string
 WriteGatewayEntry(const SocketAddress& aPeers);
 
+/// \return an error for text that is no such entry.
 absl::StatusOr<SocketAddress>
 ReadGatewayEntry(std::string_view aText);
 
--- a/dogwoodvale/src/Gateway/PeerExchange.cpp
+++ b/dogwoodvale/src/Gateway/PeerExchange.cpp
@@ -14,12 +14,13 @@
 
 namespace {
 
+/// In bytes; a larger digest is not sent.
 constexpr std::size_t kMaxDatagram = 60'000;
 constexpr Duration kFetchTimeout = milliseconds(800);
 constexpr int kHttpOk = 200;
 constexpr std::string_view kProofField = "?proof=";
 
-/// Gateways talk over IPv4, as their settings give addresses.
+/// Gateways use IPv4 only, as their settings give IPv4 addresses.
 bool
 ToSystem(const SocketAddress& aAddress, sockaddr_in& aSystem)
 {
@@ -120,7 +121,7 @@
     return addresses;
   };
   this->peers = addressesOf(aInCell);
-  this->everyone = addressesOf(aAll);
+  this->sitePeers = addressesOf(aAll);
 }
 
 void
@@ -132,7 +133,7 @@
 std::vector<SocketAddress>
 PeerExchange::Reachable() const
 {
-  std::vector<SocketAddress> targets = this->everyone;
+  std::vector<SocketAddress> targets = this->sitePeers;
   for (const SocketAddress& seed : this->options.seeds) {
     if (seed != this->options.self &&
         std::ranges::find(targets, seed) == targets.end()) {
@@ -145,14 +146,15 @@
 std::vector<SocketAddress>
 PeerExchange::DigestTargets()
 {
-  if (this->peers.size() == this->everyone.size()) {
+  if (this->peers.size() == this->sitePeers.size()) {
     return this->Reachable();
   }
   std::vector<SocketAddress> targets = this->peers;
-  // One gateway anywhere, so that a new configuration reaches a cell that the
-  // store turns away as a whole.
-  std::uniform_int_distribution<std::size_t> draw(0, this->everyone.size() - 1);
-  targets.push_back(this->everyone[draw(this->random)]);
+  // One random gateway of the site as well, so that a new configuration reaches
+  // a cell all of whose gateways the store rejects.
+  std::uniform_int_distribution<std::size_t> draw(0,
+                                                  this->sitePeers.size() - 1);
+  targets.push_back(this->sitePeers[draw(this->random)]);
   return targets;
 }
 
@@ -174,7 +176,8 @@
   for (const SocketAddress& target : targets) {
     sockaddr_in address{};
     if (ToSystem(target, address)) {
-      // A datagram that can't be sent is as one that was lost on its way.
+      // A send failure is handled like packet loss: the next digest replaces
+      // this one.
       static_cast<void>(::sendto(this->socket,
                                  bytes.data(),
                                  bytes.size(),
@@ -215,7 +218,7 @@
 PeerExchange::Fetch(const SocketAddress& aFrom, const std::string& aPath)
 {
   const bool isBusy = std::ranges::any_of(
-    this->fetches, [&](const std::unique_ptr<Fetching>& aFetch) {
+    this->fetches, [&](const std::unique_ptr<PendingFetch>& aFetch) {
       return aFetch->path == aPath;
     });
   if (isBusy) {
@@ -227,23 +230,23 @@
     "{}{}{}", aPath, kProofField, ProofOf(aPath, this->options.secret));
   call.timeout = kFetchTimeout;
   call.acceptsCompressed = true;
-  auto fetch = std::make_unique<Fetching>();
-  Fetching* key = fetch.get();
+  auto fetch = std::make_unique<PendingFetch>();
+  PendingFetch* key = fetch.get();
   fetch->path = aPath;
   fetch->startedAt = Now();
   fetch->exchange = HttpExchange::Start(
     this->loop, call, [this, key, aFrom, aPath](const HttpAnswer& aAnswer) {
       const auto found = std::ranges::find_if(
-        this->fetches, [key](const std::unique_ptr<Fetching>& aOne) {
+        this->fetches, [key](const std::unique_ptr<PendingFetch>& aOne) {
           return aOne.get() == key;
         });
-      // Kept to the end of this call, which runs inside it.
-      const std::unique_ptr<Fetching> ended = std::move(*found);
+      // Kept alive until this callback, which it owns, returns.
+      const std::unique_ptr<PendingFetch> ended = std::move(*found);
       this->fetches.erase(found);
-      const bool hasCome = aAnswer.status.ok() && aAnswer.code == kHttpOk;
-      if (!hasCome || aPath == kRoutesPath) {
+      const bool isReceived = aAnswer.status.ok() && aAnswer.code == kHttpOk;
+      if (!isReceived || aPath == kRoutesPath) {
         Log(LogLevel::Info,
-            hasCome ? "fetched" : "fetch_failed",
+            isReceived ? "fetched" : "fetch_failed",
             "path",
             aPath,
             "from",
@@ -257,7 +260,7 @@
             "took_ms",
             WholeMillis(Between(ended->startedAt, Now())));
       }
-      if (hasCome) {
+      if (isReceived) {
         this->host.OnDocument(aPath, aAnswer.body, aFrom);
         return;
       }
--- a/dogwoodvale/src/Gateway/PeerExchange.h
+++ b/dogwoodvale/src/Gateway/PeerExchange.h
@@ -11,73 +11,82 @@
 
 namespace dogwoodvale {
 
-/// Is told what the other gateways say.
+/// Receives the messages of the other gateways.
 class PeerExchangeHost
 {
 public:
   virtual ~PeerExchangeHost() = default;
-  /// The next digest to send; gives out what was routed since the last.
+  /// The next digest to send; consumes the prompts routed since the last one.
   virtual PeerDigest MakeDigest() = 0;
   virtual void OnDigest(const PeerDigest& aDigest,
                         const SocketAddress& aFrom) = 0;
-  /// A document that was asked for, see PeerExchange::Fetch().
+  /// A document requested by PeerExchange::Fetch() has arrived.
   virtual void OnDocument(std::string_view aPath,
                           std::string_view aDocument,
                           const SocketAddress& aFrom) = 0;
-  /// What was asked for did not come.
+  /// A request by PeerExchange::Fetch() failed.
   virtual void OnFetchFailed(std::string_view aPath,
                              const SocketAddress& aFrom) = 0;
 };
 
-/// How gateways talk: a digest of their work by datagram, a few times a second,
-/// and documents (routes, backend servers) by HTTP, only when asked for.
+/// Communication among gateways: digests of their state by UDP, a few times a
+/// second, and documents (routes, backend servers) by HTTP on request.
 ///
-/// A digest that is lost costs a little of the choice's quality, so datagrams
-/// do; a stream would deliver old news late instead.
+/// A lost digest only makes load balancing slightly worse until the next one,
+/// so datagrams suffice; a stream would deliver outdated digests late instead.
 class PeerExchange
 {
 public:
   struct Options
   {
+    /// Address that the UDP socket is bound to.
     SocketAddress self;
+    /// Authenticates digests and document requests; shared by all gateways.
     std::string secret;
+    /// Gateways that are contacted whether or not the store lists them.
     std::vector<SocketAddress> seeds;
   };
 
+  /// \return InvalidArgument if the own address is not IPv4, Unavailable if it
+  /// can't be bound.
   static absl::StatusOr<std::unique_ptr<PeerExchange>>
   Create(EventLoop& aLoop, Options aOptions, PeerExchangeHost& aHost);
   ~PeerExchange();
   PeerExchange(const PeerExchange&) = delete;
   PeerExchange& operator=(const PeerExchange&) = delete;
 
-  /// The gateways that the store names: those of this one's cell, to which its
-  /// digests go, and all of the site.
+  /// Sets the gateways that the store lists: those of this gateway's cell,
+  /// which receive its digests, and all of the site.
   void SetPeers(std::span<const GatewayMember> aInCell,
                 std::span<const GatewayMember> aAll,
                 const InstanceName& aSelf);
   void SetSeeds(std::vector<SocketAddress> aSeeds);
-  /// Asks one gateway for a document; one at a time for each path.
-  /// \return whether it was asked.
+  /// Requests a document from one gateway; at most one request per path is in
+  /// flight.
+  /// \return whether a request was sent.
   bool Fetch(const SocketAddress& aFrom, const std::string& aPath);
-  /// Asks a gateway drawn at random. \return whether one was asked.
+  /// Requests a document from a random gateway. \return whether a request was
+  /// sent.
   bool FetchFromAny(const std::string& aPath, std::mt19937_64& aRandom);
-  /// Whether a request for a document proves to come from a gateway.
+  /// Whether the path of a document request carries a valid proof that it comes
+  /// from a gateway, see ProofOf().
   bool IsProven(std::string_view aPath) const;
 
-  /// Datagrams that were no digest, or made with another secret.
+  /// Number of datagrams that were malformed or made with another secret.
   std::uint64_t DigestsRefused() const { return this->refused; }
 
-  /// Of all documents.
+  /// Common prefix of the paths of all documents.
   static constexpr std::string_view kPathPrefix = "/peer/";
   static constexpr std::string_view kRoutesPath = "/peer/routes";
   static constexpr std::string_view kInstancesPath = "/peer/instances";
-  /// Digests that a gateway may receive in a second: each gateway sends to all
-  /// others of its cell, so the pace of each falls as their number grows.
+  /// Target number of digests that a gateway receives per second. Each gateway
+  /// sends to all others of its cell, so the sending rate of each falls as
+  /// their number grows.
   static constexpr int kDigestsPerSecond = 200;
   static constexpr Duration kLeastDigestPeriod = milliseconds(50);
 
 private:
-  struct Fetching
+  struct PendingFetch
   {
     std::string path;
     TimePoint startedAt;
@@ -88,8 +97,9 @@
   absl::Status Open();
   void Send();
   void OnReadable();
-  /// All gateways that may be asked, seeds included.
+  /// All gateways of the site, seeds included, without this one.
   std::vector<SocketAddress> Reachable() const;
+  /// Where the next digest goes.
   std::vector<SocketAddress> DigestTargets();
 
   EventLoop& loop;
@@ -99,9 +109,11 @@
   event* readable = nullptr;
   std::mt19937_64 random;
   Timer sendTimer;
+  /// Gateways of this gateway's cell.
   std::vector<SocketAddress> peers;
-  std::vector<SocketAddress> everyone;
-  std::vector<std::unique_ptr<Fetching>> fetches;
+  /// Gateways of the site.
+  std::vector<SocketAddress> sitePeers;
+  std::vector<std::unique_ptr<PendingFetch>> fetches;
   std::uint64_t refused = 0;
 };
 
--- a/dogwoodvale/src/Gateway/QuarantineKeeper.cpp
+++ b/dogwoodvale/src/Gateway/QuarantineKeeper.cpp
@@ -97,7 +97,8 @@
           MessageOf(verdict.status()));
       continue;
     }
-    // Its lease ends with the quarantine; how much of it is left isn't told.
+    // The remaining time isn't stored: the lease, and with it the key, ends
+    // with the quarantine.
     verdict->left = verdict->isLifted ? Duration::zero() : Duration::max();
     this->handler(*verdict);
   }
@@ -106,10 +107,10 @@
 void
 QuarantineKeeper::Keep(const QuarantineVerdict& aVerdict)
 {
-  if (this->waiting.size() >= kMostWaiting) {
+  if (this->pending.size() >= kMostWaiting) {
     return;
   }
-  this->waiting[aVerdict.request] = aVerdict;
+  this->pending[aVerdict.request] = aVerdict;
   this->WriteNext();
 }
 
@@ -117,13 +118,13 @@
 QuarantineKeeper::Tend()
 {
   const TimePoint now = Now();
-  std::erase_if(this->kept,
+  std::erase_if(this->stored,
                 [now](const auto& aItem) { return aItem.second.until <= now; });
   const StoreEra before = std::exchange(this->era, this->store.Era());
   if (before == this->era) {
     return;
   }
-  for (const auto& [request, one] : this->kept) {
+  for (const auto& [request, one] : this->stored) {
     QuarantineVerdict verdict = one.verdict;
     verdict.left = verdict.isLifted ? verdict.left : Between(now, one.until);
     this->Keep(verdict);
@@ -133,18 +134,19 @@
 void
 QuarantineKeeper::WriteNext()
 {
-  if (this->waiting.empty() || this->writeCall != nullptr) {
+  if (this->pending.empty() || this->writeCall != nullptr) {
     return;
   }
-  const QuarantineVerdict verdict = this->waiting.begin()->second;
-  // A lifted one is kept as long as an older word of it may be told.
+  const QuarantineVerdict verdict = this->pending.begin()->second;
+  // The record of a lifted quarantine is stored for as long as a gateway may
+  // still report the quarantine.
   const Duration ttl =
     verdict.isLifted ? kLongestLease : std::min(verdict.left, kLongestLease);
   this->writeCall = this->store.GrantLease(
     ttl, [this, verdict](const absl::StatusOr<LeaseGrant>& aGrant) {
       const std::unique_ptr<StoreCall> ended = std::move(this->writeCall);
       if (aGrant.ok()) {
-        this->kept[verdict.request] = { verdict, Now() + aGrant->ttl };
+        this->stored[verdict.request] = { verdict, Now() + aGrant->ttl };
         this->Put(verdict, aGrant->id);
       } else {
         this->writeTimer.StartOnce(kRetryPeriod);
@@ -168,9 +170,9 @@
         this->writeTimer.StartOnce(kRetryPeriod);
         return;
       }
-      const auto written = this->waiting.find(aVerdict.request);
-      if (written != this->waiting.end() && written->second == aVerdict) {
-        this->waiting.erase(written);
+      const auto written = this->pending.find(aVerdict.request);
+      if (written != this->pending.end() && written->second == aVerdict) {
+        this->pending.erase(written);
       }
       this->WriteNext();
     });
--- a/dogwoodvale/src/Gateway/QuarantineKeeper.h
+++ b/dogwoodvale/src/Gateway/QuarantineKeeper.h
@@ -10,35 +10,38 @@
 
 namespace dogwoodvale {
 
-/// Keeps quarantines in the store, one key each under a lease of its own.
+/// Persists quarantines in the store, each as one key under its own lease.
 ///
-/// Gateways hold what they know in memory and learn from each other. When all
-/// of them are killed at once, each quarantined request would have to crash
-/// three more servers to be known again; from here they know it at once.
+/// Gateways hold quarantines in memory and exchange them. If all gateways are
+/// killed at once, each quarantined request would have to crash three more
+/// servers to be detected again; the stored copies avoid that.
 class QuarantineKeeper
 {
 public:
   using Handler = std::function<void(const QuarantineVerdict&)>;
 
-  /// \param aHandler is told of each quarantine that is read.
+  /// \param aHandler is called for each quarantine that is read.
   QuarantineKeeper(EventLoop& aLoop, StoreClient& aStore, Handler aHandler);
 
-  /// Reads what is kept: at once, which may be seconds old, and once more when
-  /// all gateways that started together have.
+  /// Reads the stored quarantines twice: at once, possibly seconds stale, and
+  /// consistently after kRereadDelay, when gateways that started together have
+  /// all done their first read.
   void Start();
-  /// Keeps it, in place of an earlier one of the same request. Tried again
-  /// while the store gives no answer.
+  /// Stores a verdict, in place of an earlier one of the same request. Retried
+  /// every kRetryPeriod until the store has applied it. Dropped if kMostWaiting
+  /// others are pending.
   void Keep(const QuarantineVerdict& aVerdict);
-  /// Keeps again what a store that came back as an older copy has lost. Call a
-  /// few times a second.
+  /// Writes the verdicts in force again if the store was restored from an older
+  /// copy. Call a few times a second.
   void Tend();
 
   static constexpr std::string_view kPrefix = "dogwoodvale/quarantine/";
-  /// The store's longest lease.
+  /// Longest lease that the store grants.
   static constexpr Duration kLongestLease = seconds(600);
   static constexpr Duration kReadAgain = seconds(2);
   static constexpr Duration kRetryPeriod = seconds(1);
-  /// Waiting to be written; more are dropped, the other gateways know them.
+  /// Most pending writes; further verdicts are dropped, as the other gateways
+  /// have them too.
   static constexpr std::size_t kMostWaiting = 64;
 
 private:
@@ -51,25 +54,27 @@
   Handler handler;
   std::unique_ptr<StoreCall> readCall;
   std::unique_ptr<StoreCall> writeCall;
-  std::map<RequestFingerprint, QuarantineVerdict> waiting;
-  struct Kept
+  /// Verdicts that are not written yet.
+  std::map<RequestFingerprint, QuarantineVerdict> pending;
+  struct Stored
   {
     QuarantineVerdict verdict;
     TimePoint until{};
   };
-  /// Written by this gateway, in force still.
-  std::map<RequestFingerprint, Kept> kept;
+  /// Verdicts that this gateway has written and whose lease still runs.
+  std::map<RequestFingerprint, Stored> stored;
   StoreEra era = 0;
   Timer readTimer;
   Timer writeTimer;
 };
 
-/// "ROUND" or "ROUND lifted".
+/// \return "ROUND" or "ROUND lifted".
 std::string
 WriteVerdict(const QuarantineVerdict& aVerdict);
 
 /// \param aKey under QuarantineKeeper::kPrefix.
-/// \return with no time left, which the store doesn't tell.
+/// \return the verdict with QuarantineVerdict::left unset, as it isn't stored;
+/// InvalidArgument for another key or value.
 absl::StatusOr<QuarantineVerdict>
 ReadVerdict(std::string_view aKey, std::string_view aValue);
 
--- a/dogwoodvale/src/Gateway/RoutesCatchUp.cpp
+++ b/dogwoodvale/src/Gateway/RoutesCatchUp.cpp
@@ -16,14 +16,14 @@
   if (!this->IsBehind(aNow)) {
     this->behindSince.reset();
   }
-  Teller& teller = this->tellers[aGateway];
-  teller.version = aVersion;
-  teller.at = aNow;
+  Peer& peer = this->peers[aGateway];
+  peer.version = aVersion;
+  peer.heardAt = aNow;
   if (aVersion > this->inForce && !this->behindSince) {
     this->behindSince = aNow;
   }
-  std::erase_if(this->tellers, [&](const auto& aItem) {
-    return !this->Counts(aItem.second, aNow);
+  std::erase_if(this->peers, [&](const auto& aItem) {
+    return !this->IsValid(aItem.second, aNow);
   });
 }
 
@@ -32,7 +32,7 @@
 {
   this->inForce = std::max(this->inForce, aVersion);
   const bool isBehind =
-    std::ranges::any_of(this->tellers, [this](const auto& aItem) {
+    std::ranges::any_of(this->peers, [this](const auto& aItem) {
       return aItem.second.version > this->inForce;
     });
   if (!isBehind) {
@@ -41,18 +41,18 @@
 }
 
 bool
-RoutesCatchUp::Counts(const Teller& aTeller, TimePoint aNow) const
+RoutesCatchUp::IsValid(const Peer& aPeer, TimePoint aNow) const
 {
-  return Between(aTeller.at, aNow) <= kWordLife;
+  return Between(aPeer.heardAt, aNow) <= kWordLife;
 }
 
 Epoch
 RoutesCatchUp::Newest(TimePoint aNow) const
 {
   Epoch newest = this->inForce;
-  for (const auto& [address, teller] : this->tellers) {
-    if (this->Counts(teller, aNow)) {
-      newest = std::max(newest, teller.version);
+  for (const auto& [address, peer] : this->peers) {
+    if (this->IsValid(peer, aNow)) {
+      newest = std::max(newest, peer.version);
     }
   }
   return newest;
@@ -78,9 +78,9 @@
   }
   const Epoch newest = this->Newest(aNow);
   std::vector<SocketAddress> candidates;
-  for (const auto& [address, teller] : this->tellers) {
-    if (teller.version == newest && this->Counts(teller, aNow) &&
-        teller.avoidedUntil <= aNow) {
+  for (const auto& [address, peer] : this->peers) {
+    if (peer.version == newest && this->IsValid(peer, aNow) &&
+        peer.backoffUntil <= aNow) {
       candidates.push_back(address);
     }
   }
@@ -97,9 +97,9 @@
                         TimePoint aNow)
 {
   this->isAsking = false;
-  const auto found = this->tellers.find(aGateway);
-  if (!aTaken && found != this->tellers.end()) {
-    found->second.avoidedUntil = aNow + kAvoidFor;
+  const auto found = this->peers.find(aGateway);
+  if (!aTaken && found != this->peers.end()) {
+    found->second.backoffUntil = aNow + kAvoidFor;
   }
 }
 
--- a/dogwoodvale/src/Gateway/RoutesCatchUp.h
+++ b/dogwoodvale/src/Gateway/RoutesCatchUp.h
@@ -9,28 +9,34 @@
 
 namespace dogwoodvale {
 
-/// Decides when a gateway asks another one for newer routes, and which.
+/// Decides when a gateway requests newer routes from another one, and from
+/// which.
 ///
-/// The store tells every gateway that watches it, so another's copy is for
-/// those that the store does not reach in time. Any gateway that tells the
-/// newest version may be asked, drawn at random, so that the first to have it
-/// does not send it to all; one is asked at a time.
+/// The store notifies every gateway that watches it, so another gateway's copy
+/// is needed only if the store's notification is late. The source is drawn at
+/// random from the gateways that report the newest version, so that the first
+/// one to have it need not send it to all. One request is in flight at a time.
 class RoutesCatchUp
 {
 public:
-  /// Another gateway says that it has this version.
+  /// Another gateway reports its version; 0 is ignored.
   void OnTold(const SocketAddress& aGateway, Epoch aVersion, TimePoint aNow);
+  /// A version came into force here.
   void OnInForce(Epoch aVersion);
-  /// Whether the store's watch stands, as far as is known.
+  /// Whether the store's watch is established, as far as is known.
   void SetWatching(bool aWatching) { this->isWatching = aWatching; }
 
-  /// \return whom to ask now, if anybody; until OnAsked() it may be drawn anew.
+  /// \return the gateway to request the routes from now, if any. Another call
+  /// may return another one until OnAsked() is called.
   std::optional<SocketAddress> Next(TimePoint aNow, std::mt19937_64& aRandom);
+  /// The request was sent.
   void OnAsked() { this->isAsking = true; }
-  /// \param aTaken whether a copy came that took effect.
+  /// The request has ended. \param aTaken whether a copy arrived and was
+  /// applied.
   void OnAnswer(const SocketAddress& aGateway, bool aTaken, TimePoint aNow);
 
-  /// The newest version that a gateway told of lately, or what is in force.
+  /// The newest version that a gateway reported within kVersionTtl, or the one
+  /// in force if that is newer.
   Epoch Newest(TimePoint aNow) const;
   /// For how long a newer version than the one in force has been known of.
   Duration BehindFor(TimePoint aNow) const;
@@ -39,26 +45,30 @@
     return this->Newest(aNow) > this->inForce;
   }
 
-  /// The store's own answer to a watch that stands is awaited for this long.
+  /// While the watch is established, how long to wait for the store to deliver
+  /// a new version before it is requested from a gateway.
   static constexpr Duration kStoreFirst = milliseconds(300);
-  /// A gateway whose answer brought nothing is not asked again for this long.
+  /// Back-off for a gateway whose answer brought nothing new.
   static constexpr Duration kAvoidFor = seconds(1);
-  /// What a gateway told counts for this long after its last digest.
+  /// How long a reported version is valid after the gateway's last digest.
   static constexpr Duration kWordLife = seconds(3);
 
 private:
-  struct Teller
+  struct Peer
   {
     Epoch version = 0;
-    TimePoint at{};
-    TimePoint avoidedUntil{};
+    /// When the version was last reported.
+    TimePoint heardAt{};
+    TimePoint backoffUntil{};
   };
-  bool Counts(const Teller& aTeller, TimePoint aNow) const;
+  /// Whether the report is not older than kVersionTtl.
+  bool IsValid(const Peer& aPeer, TimePoint aNow) const;
 
-  std::map<SocketAddress, Teller> tellers;
+  std::map<SocketAddress, Peer> peers;
   Epoch inForce = 0;
   bool isWatching = true;
   bool isAsking = false;
+  /// Since when a version newer than the one in force is known of.
   std::optional<TimePoint> behindSince;
 };
 
--- a/dogwoodvale/src/Gateway/RoutesKeeper.h
+++ b/dogwoodvale/src/Gateway/RoutesKeeper.h
@@ -9,39 +9,40 @@
 
 namespace dogwoodvale {
 
-/// The routes in force, from the store's watch or another gateway's copy.
+/// The routes in force, from the store's watch or from another gateway.
 ///
-/// A store that comes back with older data, or a gateway that is behind, must
-/// not undo a change: only a higher version is taken.
+/// Only a higher version is accepted, so that a store that was restored from
+/// older data, or a gateway that is behind, can't undo a change.
 class RoutesKeeper final : public StoreWatchHandler
 {
 public:
   using Handler = std::function<void(std::shared_ptr<const RouteTable>)>;
 
-  /// \param aHandler is told of each higher version.
+  /// \param aHandler is called for each higher version.
   RoutesKeeper(StoreClient& aStore,
                const DirectoryFormat& aFormat,
                Handler aHandler);
 
   void Start();
-  /// Asks the store anew, e.g. after the process was suspended.
+  /// Renews the watch, e.g. after the process was suspended.
   void Rearm();
-  /// \param aFrom "store", or the gateway that hands on its copy.
-  /// \return whether they came into force.
+  /// Applies a document of routes if it is valid and of a higher version.
+  /// \param aFrom "store", or the gateway that sent its copy; for the log.
+  /// \return whether it was applied.
   bool Take(std::string_view aDocument, std::string_view aFrom);
 
-  /// 0 before the first.
+  /// Version of the routes in force; 0 before the first.
   Epoch Version() const { return this->table ? this->table->Version() : 0; }
   const std::shared_ptr<const RouteTable>& Table() const { return this->table; }
-  /// As received, for other gateways.
+  /// The document in force as received, for other gateways.
   const std::string& Document() const { return this->document; }
-  /// The same, see Compress(); made once a version.
+  /// The same, compressed (see Compress()); cached for each version.
   const std::string& CompressedDocument();
-  /// Of all documents that came, taken or not.
+  /// Total size of all documents received, applied or not.
   std::uint64_t BytesRead() const { return this->bytesRead; }
-  /// Whether the store's watch stands, as far as is known.
+  /// Whether the store's watch is established, as far as is known.
   bool IsWatching() const { return this->isWatching; }
-  /// Since the store last gave a sign of life on the watch.
+  /// Time since the store last sent anything on the watch.
   Duration Age(TimePoint aNow) const;
 
   void OnSnapshot(Revision aRevision,
@@ -58,7 +59,7 @@
   std::unique_ptr<StoreWatch> watch;
   std::shared_ptr<const RouteTable> table;
   std::string document;
-  /// Empty until somebody asks for it.
+  /// Empty until requested.
   std::string compressed;
   std::uint64_t bytesRead = 0;
   TimePoint heardAt{};
--- a/dogwoodvale/src/Gateway/ServerNeeds.cpp
+++ b/dogwoodvale/src/Gateway/ServerNeeds.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// For a read of the roster that is answered late.
+/// Allowance for a late answer to a read of the roster.
 constexpr Duration kRosterSlack = seconds(1);
 
 void
@@ -121,8 +121,8 @@
                   const std::function<bool(const InstanceName&)>& aIsUsed,
                   TimePoint aNow)
 {
-  // Kept also of servers that are not listed yet: a list that comes later may
-  // be older than the word.
+  // Departures of servers that are not listed are recorded too: a list that
+  // arrives later may be older than the report.
   for (const LeavingNews& news : aDigest.leaving) {
     if (this->leaving.Hear(news, aNow)) {
       LogLeaving(news.server, aDigest.gateway.Value(), news.age);
--- a/dogwoodvale/src/Gateway/ServerNeeds.h
+++ b/dogwoodvale/src/Gateway/ServerNeeds.h
@@ -9,41 +9,47 @@
 
 namespace dogwoodvale {
 
-/// What the backend servers have stated of their needs, here and at other
-/// gateways, and what may be sent to them then.
+/// Backpressure that backend servers have signalled in their answers, to this
+/// or another gateway: rate limits, back-offs and departures. Decides whether a
+/// request may be sent to a server.
 class ServerNeeds
 {
 public:
   explicit ServerNeeds(InstanceName aSelf);
 
   void SetGateways(std::span<const InstanceName> aNames, TimePoint aNow);
-  /// This process was suspended: what it knows of the fleet may be old.
+  /// This process was suspended: its list of gateways may be outdated.
   void OnSuspended(TimePoint aNow);
 
-  /// The head of an answer of the server came.
+  /// The headers of an answer of the server arrived.
   void OnNotice(const InstanceName& aServer,
                 const BackpressureNotice& aNotice,
                 TimePoint aNow);
+  /// Adds the rate limits and departures that this gateway knows of.
   void Tell(PeerDigest& aDigest, TimePoint aNow) const;
-  /// \param aIsUsed whether this gateway may use the server: nothing would ever
-  /// forget one that it does not list.
+  /// \param aIsUsed whether this gateway may use the server. Rate limits of
+  /// other servers are ignored, as the state of a server that is not listed
+  /// would never be freed.
   void Hear(const PeerDigest& aDigest,
             const std::function<bool(const InstanceName&)>& aIsUsed,
             TimePoint aNow);
+  /// Frees the state of a server that is no longer listed.
   void Forget(const InstanceName& aServer);
 
   ServerRates& Rates() { return this->rates; }
   const ServerRates& Rates() const { return this->rates; }
   const ServerRests& Rests() const { return this->rests; }
-  /// Whether the server, as far as it has said, takes a request of this
-  /// gateway. \param aCells 1 for a server that gateways of all cells use.
+  /// Whether the server's signals allow a request from this gateway now.
+  /// \param aCells number of cells of the site; 1 for a server that gateways of
+  /// all cells use.
   bool MaySend(const InstanceName& aServer, std::size_t aCells, TimePoint aNow);
   void OnSent(const InstanceName& aServer, std::size_t aCells, TimePoint aNow);
-  /// Until it does; zero if it does now.
+  /// Time until MaySend() allows a request; zero if it does now.
   Duration UntilFree(const InstanceName& aServer,
                      std::size_t aCells,
                      TimePoint aNow);
-  /// The server has said that it leaves, in an answer here or elsewhere.
+  /// Whether the server has announced its departure, in an answer to this or
+  /// another gateway.
   bool IsLeaving(const InstanceName& aServer) const
   {
     return this->leaving.Contains(aServer);
@@ -53,7 +59,7 @@
   ServerRates rates;
   LeavingServers leaving;
   ServerRests rests;
-  /// Servers whose last notice could not be read.
+  /// Servers whose last notice was malformed.
   std::set<InstanceName> malformed;
 };
 
--- a/dogwoodvale/src/Gateway/UsageDocument.cpp
+++ b/dogwoodvale/src/Gateway/UsageDocument.cpp
@@ -36,11 +36,11 @@
   }
   const Json::Value& counts = aValue["counts"];
   if (!counts.isObject()) {
-    return absl::DataLossError("\"counts\" is no object");
+    return absl::DataLossError("\"counts\" is not an object");
   }
   for (const std::string& customer : counts.getMemberNames()) {
     if (!counts[customer].isUInt64()) {
-      return absl::DataLossError("a count is no whole number");
+      return absl::DataLossError("a count is not a whole number");
     }
     news.counts[CustomerName(customer)] = counts[customer].asUInt64();
   }
--- a/dogwoodvale/src/Gateway/UsageDocument.h
+++ b/dogwoodvale/src/Gateway/UsageDocument.h
@@ -10,20 +10,22 @@
 
 namespace dogwoodvale {
 
-/// All that a gateway knows of usage, for one that has missed some of it.
+/// All usage counts that a gateway knows of, for one that has missed some.
 struct UsageDocument
 {
-  /// Since when it has heard all that its cell counted, in true time.
+  /// Agreed time (see TimeAgreement) since which it knows all counts of its
+  /// cell.
   milliseconds since{ 0 };
-  /// When it was written, in true time.
+  /// Agreed time at which it was written.
   milliseconds writtenAt{ 0 };
+  /// Counts by the process that made them.
   std::map<UsageSource, std::vector<UsageNews>> sources;
 };
 
 std::string
 WriteUsageDocument(const UsageDocument& aDocument);
 
-/// \return DataLoss for what no gateway of this version writes.
+/// \return DataLoss for a document that no gateway of this version writes.
 absl::StatusOr<UsageDocument>
 ReadUsageDocument(std::string_view aText);
 
--- a/dogwoodvale/src/Gateway/UsageDuty.cpp
+++ b/dogwoodvale/src/Gateway/UsageDuty.cpp
@@ -9,17 +9,19 @@
 
 namespace {
 
-/// Windows that are kept: as long as one may still be reported.
+/// Number of past windows that are kept, as one may still be reported.
 constexpr WindowId kWindowsKept = 6;
-/// What others have counted is asked for until this long after the start.
-constexpr Duration kAsksAtStart = seconds(4);
-/// From one question to a cell to the next.
-constexpr Duration kAskPeriod = milliseconds(500);
-/// A gateway's word counts for the end of a window if it was told this much
-/// later: counts are noted when an answer begins, a moment after the fact.
-constexpr milliseconds kAfterEnd(150);
-/// A gateway that is not heard for so long is not waited for.
-constexpr Duration kSilence = seconds(1);
+/// How long after the start the counts of the own cell are requested until
+/// another gateway has sent them.
+constexpr Duration kStartDuration = seconds(4);
+/// Least time between two requests to a cell.
+constexpr Duration kRequestPeriod = milliseconds(500);
+/// A gateway's counts of a window are complete if they were sent this much
+/// after its end: a request is counted when its answer begins, shortly after it
+/// began to run.
+constexpr milliseconds kSettleDelay(150);
+/// A gateway that has sent no digest for this long is not waited for.
+constexpr Duration kPeerTimeout = seconds(1);
 
 } // namespace
 
@@ -70,7 +72,7 @@
   this->ledger.Count(this->schedule.WindowAt(began), aCustomer);
 }
 
-// Others.
+// Counts of the other gateways.
 
 void
 UsageDuty::SetGateways(std::span<const GatewayMember> aGateways,
@@ -98,7 +100,7 @@
 void
 UsageDuty::Hear(const PeerDigest& aDigest)
 {
-  // A gateway of another cell sends one now and then.
+  // Gateways of another cell send a digest now and then.
   const bool isOfCell =
     this->cells == 1 || CellOf(aDigest.gateway, this->cells) == this->ownCell;
   if (!this->IsOn() || aDigest.usage.timeOfDay.count() == 0 || !isOfCell) {
@@ -108,7 +110,7 @@
   this->clocks.OnHeard(aDigest.gateway, aDigest.usage.timeOfDay, now);
   this->ledger.Hear({ aDigest.gateway, aDigest.incarnation },
                     aDigest.usage.counts);
-  this->told[aDigest.gateway] = { aDigest.usage.trueTime, now };
+  this->lastReports[aDigest.gateway] = { aDigest.usage.trueTime, now };
   this->reporter->OnHeard(aDigest.gateway, aDigest.usage.holdsDuty, now);
 }
 
@@ -158,7 +160,7 @@
   }
 }
 
-// The duty.
+// Reporting.
 
 void
 UsageDuty::Tend(PeerExchange& aPeers, std::mt19937_64& aRandom)
@@ -171,43 +173,43 @@
   if (this->since.count() == 0) {
     this->since = trueTime;
   }
-  std::erase_if(this->told, [now](const auto& aItem) {
-    return Between(aItem.second.heard, now) > kSilence;
+  std::erase_if(this->lastReports, [now](const auto& aItem) {
+    return Between(aItem.second.receivedAt, now) > kPeerTimeout;
   });
   this->ledger.DropBefore(this->schedule.WindowAt(trueTime) - kWindowsKept);
-  this->AskForMissed(aPeers, aRandom);
+  this->RequestMissingCounts(aPeers, aRandom);
   this->reporter->Tend(now, trueTime, this->ownCell == 0, *this);
 }
 
 void
-UsageDuty::AskForMissed(PeerExchange& aPeers, std::mt19937_64& aRandom)
+UsageDuty::RequestMissingCounts(PeerExchange& aPeers, std::mt19937_64& aRandom)
 {
   const TimePoint now = Now();
-  const bool isStarting = Between(this->startedAt, now) < kAsksAtStart;
+  const bool isStarting = Between(this->startedAt, now) < kStartDuration;
   const bool hasMissed = !this->ledger.IsWhole(this->LastEnded(now));
   if ((isStarting && !this->hasInherited) || hasMissed) {
-    this->AskCell(this->ownCell, aPeers, aRandom);
+    this->RequestFromCell(this->ownCell, aPeers, aRandom);
   }
   if (!this->reporter->IsActive(now)) {
     return;
   }
   const milliseconds needed =
-    this->schedule.EndOf(this->LastEnded(now)) + kAfterEnd;
+    this->schedule.EndOf(this->LastEnded(now)) + kSettleDelay;
   const bool isOver = this->TrueTime(now) >= needed;
   for (std::size_t cell = 0; cell < this->cells && isOver; ++cell) {
     if (cell != this->ownCell && this->cellsKnownTo[cell] < needed) {
-      this->AskCell(cell, aPeers, aRandom);
+      this->RequestFromCell(cell, aPeers, aRandom);
     }
   }
 }
 
 void
-UsageDuty::AskCell(std::size_t aCell,
-                   PeerExchange& aPeers,
-                   std::mt19937_64& aRandom)
+UsageDuty::RequestFromCell(std::size_t aCell,
+                           PeerExchange& aPeers,
+                           std::mt19937_64& aRandom)
 {
   const TimePoint now = Now();
-  if (Between(this->askedAt[aCell], now) < kAskPeriod) {
+  if (Between(this->requestedAt[aCell], now) < kRequestPeriod) {
     return;
   }
   std::vector<SocketAddress> members;
@@ -220,7 +222,7 @@
   if (members.empty()) {
     return;
   }
-  this->askedAt[aCell] = now;
+  this->requestedAt[aCell] = now;
   std::uniform_int_distribution<std::size_t> draw(0, members.size() - 1);
   aPeers.Fetch(members[draw(aRandom)], fmt::format("{}{}", kPath, aCell));
 }
@@ -239,10 +241,10 @@
   if (this->since > this->schedule.BeginOf(aWindow)) {
     return UsageKnowledge::Unknown;
   }
-  const milliseconds needed = this->schedule.EndOf(aWindow) + kAfterEnd;
-  const bool allTold =
-    std::ranges::all_of(this->told, [needed](const auto& aItem) {
-      return aItem.second.at >= needed;
+  const milliseconds needed = this->schedule.EndOf(aWindow) + kSettleDelay;
+  const bool allReported =
+    std::ranges::all_of(this->lastReports, [needed](const auto& aItem) {
+      return aItem.second.sentAt >= needed;
     });
   bool allCells = true;
   for (std::size_t cell = 0; cell < this->cells; ++cell) {
@@ -251,7 +253,7 @@
                (cell == this->ownCell ||
                 (known != this->cellsKnownTo.end() && known->second >= needed));
   }
-  return allTold && allCells && this->ledger.IsWhole(aWindow)
+  return allReported && allCells && this->ledger.IsWhole(aWindow)
            ? UsageKnowledge::Settled
            : UsageKnowledge::Open;
 }
--- a/dogwoodvale/src/Gateway/UsageDuty.h
+++ b/dogwoodvale/src/Gateway/UsageDuty.h
@@ -11,15 +11,17 @@
 
 namespace dogwoodvale {
 
-/// A gateway's part in the usage duty: counts what begins to run, tells and
-/// hears counts by digests, and holds the duty when it is this one's turn.
+/// A gateway's part in the reporting of usage: counts requests that begin to
+/// run, exchanges counts with other gateways in digests, and reports the sum
+/// while this gateway is the reporting one (the leader, see UsageReporter).
 ///
-/// The duty is held in the first cell, whose gateways hear each other's counts.
-/// Of each other cell the holder asks one gateway, which has heard all of it.
+/// The reporting gateway is one of the first cell, whose gateways receive each
+/// other's counts. For each other cell it requests the counts from one of its
+/// gateways, which has received those of the whole cell.
 class UsageDuty final : public UsageView
 {
 public:
-  /// \param aPort null where no usage is to be reported: nothing is counted.
+  /// \param aPort null if no usage is to be reported; then nothing is counted.
   UsageDuty(EventLoop& aLoop,
             StoreClient& aStore,
             UsagePort* aPort,
@@ -28,21 +30,25 @@
             const DutySettings& aSettings);
 
   bool IsOn() const { return this->reporter != nullptr; }
-  /// A request began to run at a server.
+  /// Counts a request that began to run at a server.
   void Count(const CustomerName& aCustomer, TimePoint aBegan);
 
   void SetGateways(std::span<const GatewayMember> aGateways,
                    std::size_t aCells,
                    std::size_t aOwnCell);
+  /// Adds this gateway's clock and counts.
   void Tell(PeerDigest& aDigest);
+  /// Takes in another gateway's counts; ignored if it is of another cell.
   void Hear(const PeerDigest& aDigest);
   /// Call a few times a second.
   void Tend(PeerExchange& aPeers, std::mt19937_64& aRandom);
-  /// Hands over, for a planned stop. Counting goes on.
+  /// Hands the reporting over, for a planned stop. Counting goes on.
   void Stop();
 
+  /// All counts that this gateway knows of, see UsageDocument.
   std::string Document() const;
-  /// \param aPath under kPath, as it was asked for.
+  /// Merges the document of another gateway; logs and ignores a malformed one.
+  /// \param aPath the requested path: kPath and the number of the cell.
   void TakeDocument(std::string_view aPath,
                     std::string_view aDocument,
                     const SocketAddress& aFrom);
@@ -50,19 +56,24 @@
   UsageKnowledge KnowledgeOf(WindowId aWindow) const override;
   UsageCounts CountsOf(WindowId aWindow) const override;
 
-  /// Null where no usage is to be reported.
+  /// Null if no usage is to be reported.
   const UsageReporter* Reporter() const { return this->reporter.get(); }
+  /// Number of windows that have ended and are neither reported nor left out.
   std::size_t Backlog() const;
 
-  /// The documents' path; a cell's number follows.
+  /// Path of the documents, without the number of the cell that follows.
   static constexpr std::string_view kPath = "/peer/usage/";
 
 private:
+  /// The time on which the gateways agree, since 1970; see TimeAgreement.
   milliseconds TrueTime(TimePoint aNow) const;
-  void AskForMissed(PeerExchange& aPeers, std::mt19937_64& aRandom);
-  void AskCell(std::size_t aCell,
-               PeerExchange& aPeers,
-               std::mt19937_64& aRandom);
+  /// Requests counts that this gateway did not receive.
+  void RequestMissingCounts(PeerExchange& aPeers, std::mt19937_64& aRandom);
+  /// Requests the document of a random gateway of the cell, at most once per
+  /// kRequestPeriod.
+  void RequestFromCell(std::size_t aCell,
+                       PeerExchange& aPeers,
+                       std::mt19937_64& aRandom);
   /// The window that ended last.
   WindowId LastEnded(TimePoint aNow) const;
 
@@ -74,21 +85,22 @@
   std::vector<GatewayMember> gateways;
   std::size_t cells = 1;
   std::size_t ownCell = 0;
-  /// True time of each gateway of the cell when it last told its counts, and
-  /// when that was heard.
-  struct Told
+  /// The last digest of a gateway of the cell.
+  struct LastReport
   {
-    milliseconds at{ 0 };
-    TimePoint heard{};
+    /// Agreed time at which it was sent.
+    milliseconds sentAt{ 0 };
+    TimePoint receivedAt{};
   };
-  std::map<InstanceName, Told> told;
-  /// True time up to which the counts of each other cell are known.
+  std::map<InstanceName, LastReport> lastReports;
+  /// Agreed time up to which the counts of each other cell are known.
   std::map<std::size_t, milliseconds> cellsKnownTo;
-  /// When a gateway of each cell was last asked.
-  std::map<std::size_t, TimePoint> askedAt;
-  /// Since when all that the cell counted was heard, in true time; 0 until the
-  /// first word of another gateway or a moment after the start.
+  /// When the counts of each cell were last requested.
+  std::map<std::size_t, TimePoint> requestedAt;
+  /// Agreed time since which all counts of the cell are known; 0 until the
+  /// first call of RunMaintenance().
   milliseconds since{ 0 };
+  /// Whether another gateway's document has moved it to an earlier time.
   bool hasInherited = false;
   TimePoint startedAt;
 };
--- a/dogwoodvale/src/Gateway/WarmStart.cpp
+++ b/dogwoodvale/src/Gateway/WarmStart.cpp
@@ -14,7 +14,7 @@
   , directory(aDirectory)
   , pool(aPool)
   , options(std::move(aOptions))
-  , order(aSelf, Now())
+  , election(aSelf, Now())
 {
 }
 
@@ -22,14 +22,16 @@
 WarmStart::Start()
 {
   this->startedAt = Now();
-  // The gateway that has just started knows less than what is kept.
+  // Delays the first write: a gateway that has just started knows less than
+  // what is saved.
   this->writtenAt = this->startedAt;
   if (!this->options.isOn) {
     return;
   }
   RangeQuery query;
   query.key = kKey;
-  // All gateways may start at once; a read that may be old is not counted.
+  // All gateways may start at once; stale reads do not count towards the
+  // store's read limit.
   query.allowStale = true;
   this->readCall = this->store.Range(
     query, [this](const absl::StatusOr<RangeResult>& aResult) {
@@ -114,7 +116,7 @@
 void
 WarmStart::OnHeard(const InstanceName& aGateway, TimePoint aNow)
 {
-  this->order.OnHeard(aGateway, false, aNow);
+  this->election.OnHeard(aGateway, false, aNow);
 }
 
 void
@@ -127,7 +129,7 @@
   if (Between(this->startedAt, aNow) > kStartTakes) {
     this->caches.clear();
   }
-  if (aMayWrite && this->order.RankOfSelf(aNow) == 0) {
+  if (aMayWrite && this->election.RankOfSelf(aNow) == 0) {
     this->writtenAt = aNow;
     this->Write();
   }
--- a/dogwoodvale/src/Gateway/WarmStart.h
+++ b/dogwoodvale/src/Gateway/WarmStart.h
@@ -8,10 +8,11 @@
 
 namespace dogwoodvale {
 
-/// Keeps what gateways have learned in the store, and takes it at a start.
+/// Saves the state that gateways have learned (WarmState) to the store, and
+/// restores it at the start.
 ///
-/// One gateway writes for all. What other gateways know is fresher, so one of
-/// them is asked too; when all have started together, only the store knows.
+/// One gateway writes for all. Another gateway's state is fresher, so it is
+/// requested too; if all gateways restart together, only the store has it.
 class WarmStart
 {
 public:
@@ -27,45 +28,50 @@
             BackendPool& aPool,
             Options aOptions);
 
-  /// Reads what is kept.
+  /// Reads the saved state.
   void Start();
-  /// A gateway that may write gave a sign of life.
+  /// A digest arrived from a gateway that is one of those that may write.
   void OnHeard(const InstanceName& aGateway, TimePoint aNow);
-  /// The pool has a new list.
+  /// The list of backend servers in the pool has changed.
   void OnInstances() { this->SeedCaches(); }
-  /// Call a few times a second. \param aMayWrite whether this gateway is one of
-  /// those that write; the first of them does.
+  /// Saves the state when due. Call a few times a second.
+  /// \param aMayWrite whether this gateway is one of those that may write; the
+  /// first of them does.
   void Tend(TimePoint aNow, bool aMayWrite);
-  /// Whether another gateway is to be asked for what it knows.
+  /// Whether the state of another gateway is to be requested.
   bool WantsDocument(TimePoint aNow) const;
+  /// This gateway's state, as Apply() reads it.
   std::string Document() const;
-  /// Takes what another gateway or the store knows.
+  /// Applies the state of another gateway or of the store; logs and ignores an
+  /// invalid one. \param aFrom "store" or the gateway.
   void Take(std::string_view aBytes, std::string_view aFrom);
 
   static constexpr std::string_view kKey = "dogwoodvale/warm";
   static constexpr std::string_view kPath = "/peer/warm";
   static constexpr Duration kWritePeriod = seconds(2);
-  /// A gateway that has run for so long has learned by itself.
+  /// How long after the start the restored state is used: a gateway that has
+  /// run longer has learned enough by itself.
   static constexpr Duration kStartTakes = seconds(3);
 
 private:
   WarmState Collect() const;
   void Write();
-  /// Hands on what is known of the caches of servers that the pool has.
+  /// Passes the restored cache contents of listed servers to the pool.
   void SeedCaches();
 
   StoreClient& store;
   DirectoryKeeper& directory;
   BackendPool& pool;
   Options options;
-  /// In whose order gateways write.
-  DutyElection order;
-  /// Not handed on yet, as their servers are not listed.
+  /// Elects the gateway that writes.
+  DutyElection election;
+  /// Cache contents not passed on yet, as their servers are not listed.
   std::vector<std::pair<InstanceName, std::vector<PromptStep>>> caches;
   std::unique_ptr<StoreCall> readCall;
   std::unique_ptr<StoreCall> writeCall;
   TimePoint startedAt{};
   TimePoint writtenAt{};
+  /// Whether another gateway's state was applied.
   bool hasDocument = false;
 };
 
--- a/dogwoodvale/src/Gateway/WarmState.cpp
+++ b/dogwoodvale/src/Gateway/WarmState.cpp
@@ -12,9 +12,10 @@
 
 namespace {
 
-/// Another one is refused: its fields may mean something else.
+/// Version of the format. Another one is rejected, as its fields may have
+/// another meaning.
 constexpr std::uint32_t kFormat = 1;
-/// What claims more items is refused before memory is given to it.
+/// A state that declares more items is rejected before memory is allocated.
 constexpr std::size_t kMaxItems = 65'536;
 
 struct PackedInstance
@@ -158,10 +159,10 @@
                                             one.tokensPerMicro,
                                             one.meanStayMicros,
                                             one.interactivePeak };
-    const bool isSound = std::ranges::all_of(numbers, [](double aNumber) {
+    const bool isValid = std::ranges::all_of(numbers, [](double aNumber) {
       return std::isfinite(aNumber) && aNumber >= 0;
     });
-    if (isSound) {
+    if (isValid) {
       aState.services.push_back(
         { ServiceName(one.service),
           { one.meanTokens, one.tokensPerMicro, one.meanStayMicros },
@@ -196,12 +197,13 @@
 ReadWarmState(std::string_view aBytes, std::string_view aSecret)
 {
   if (aBytes.size() <= kKeyedDigestBytes) {
-    return absl::DataLossError("too short");
+    return absl::DataLossError("the state is too short");
   }
   const std::string_view packed = aBytes.substr(kKeyedDigestBytes);
   const std::string proof = KeyedDigest(packed, aSecret);
   if (CRYPTO_memcmp(proof.data(), aBytes.data(), kKeyedDigestBytes) != 0) {
-    return absl::PermissionDeniedError("written with another secret, or torn");
+    return absl::PermissionDeniedError(
+      "the state was written with another secret or is corrupted");
   }
   PackedState read;
   try {
@@ -215,8 +217,9 @@
     return absl::DataLossError(error.what());
   }
   if (read.format != kFormat) {
-    return MakeError(
-      absl::StatusCode::kUnimplemented, "written in format {}", read.format);
+    return MakeError(absl::StatusCode::kUnimplemented,
+                     "unknown format version {}",
+                     read.format);
   }
   WarmState state;
   absl::Status status = UnpackInstances(read, state);
--- a/dogwoodvale/src/Gateway/WarmState.h
+++ b/dogwoodvale/src/Gateway/WarmState.h
@@ -11,31 +11,36 @@
 
 namespace dogwoodvale {
 
-/// What gateways have learned, for one that starts and knows nothing.
+/// State that gateways have learned, for one that has just started.
 ///
-/// When all of them are killed at once, all that they knew is gone while the
-/// backend servers and their caches live on: for some seconds requests find no
-/// server whose entry lapsed meanwhile, go to a few of many, and read again
-/// what is cached. All of it is hints: each is checked where it is used, and
-/// what is seen here goes before it.
+/// If all gateways are killed at once, their state is lost while the backend
+/// servers and their prefix caches live on. Without it, for some seconds
+/// requests find no server whose entry expired meanwhile, go to a few of many
+/// servers, and are prefilled again although they are cached. All of it is
+/// hints: each is checked where it is used, and own observations take
+/// precedence.
 struct WarmState
 {
   std::vector<DirectInstance> instances;
   std::vector<GatewayMember> gateways;
   std::vector<ServiceLearning> services;
-  /// Steps that each server probably holds, the latest first.
+  /// Prompt steps that each server probably has cached, the latest first.
   std::vector<std::pair<InstanceName, std::vector<PromptStep>>> caches;
 
-  /// Steps kept of one server, and of all.
+  /// Most steps of one server.
   static constexpr std::size_t kMostStepsOfOne = 64;
+  /// Most steps of all servers together.
   static constexpr std::size_t kMostSteps = 16'384;
 };
 
-/// \param aSecret shared by all gateways: with another it is not read back.
+/// \param aSecret shared by all gateways; ReadWarmState() rejects a state that
+/// was written with another one.
 std::string
 WriteWarmState(const WarmState& aState, std::string_view aSecret);
 
-/// \return an error for what no gateway of this version and site writes.
+/// \return DataLoss for malformed bytes, PermissionDenied for another secret or
+/// corrupted bytes, Unimplemented for another format version, the error of
+/// SocketAddress::Parse() for a wrong address.
 absl::StatusOr<WarmState>
 ReadWarmState(std::string_view aBytes, std::string_view aSecret);
 
--- a/test/Cells.cpp
+++ b/test/Cells.cpp
@@ -32,7 +32,7 @@
 
 } // namespace
 
-TEST_CASE("a small fleet is one cell, a large one has many alike", "[cells]")
+TEST_CASE("the number of cells grows with the number of gateways", "[cells]")
 {
   CHECK(CellCount(0, 1) == 1);
   CHECK(CellCount(29, 1) == 1);
@@ -42,9 +42,10 @@
   CHECK(CellCount(420, 1) == 13);
 }
 
-// Gateways are stopped and started in turn, and with each the fleet splits and
-// joins: servers change hands, and their caches are read anew.
-TEST_CASE("the number of cells does not follow each gateway", "[cells]")
+// If the fleet were split and merged with each gateway that stops or starts,
+// servers would move between cells and their prefix caches would be filled
+// anew.
+TEST_CASE("the number of cells has hysteresis", "[cells]")
 {
   const std::size_t cells = CellCount(49, 1);
   REQUIRE(cells == 2);
@@ -53,7 +54,9 @@
   CHECK(CellCount(31, cells) == 1);
 }
 
-TEST_CASE("cells are about equal and one more moves only its own", "[cells]")
+TEST_CASE(
+  "cells have similar sizes, and another cell moves only its own members",
+  "[cells]")
 {
   CHECK(rc::check([] {
     const auto cells = *rc::gen::inRange<std::size_t>(1, 20);
@@ -73,11 +76,10 @@
   }));
 }
 
-// With 300 gateways callers wait though two of three servers are idle: each
-// gateway knows what the others sent only seconds later, and all choose the
-// servers that were idle then.
-TEST_CASE("a gateway of a large fleet chooses among its cell's servers",
-          "[cells]")
+// With 300 gateways and no cells, each gateway learns only seconds later what
+// the others sent, and all choose the servers that were idle then: callers wait
+// though two of three servers are idle.
+TEST_CASE("a gateway of a large fleet uses the servers of its cell", "[cells]")
 {
   const auto loop = *EventLoop::Create();
   BackendPool pool(*loop, {});
@@ -97,7 +99,7 @@
     sum += count();
   }
   CHECK(sum == 120);
-  // All servers of the cell gone: the others still serve.
+  // If all servers of the cell are excluded, those of other cells are used.
   std::vector<InstanceName> excluded;
   for (const auto& one : pool.Candidates(service, {}, {}, Now())) {
     excluded.push_back(one.name);
@@ -118,7 +120,7 @@
   CHECK(pool.Candidates(service, {}, {}, Now()).size() == 40);
 }
 
-TEST_CASE("gateways agree on who shares a cell", "[cells]")
+TEST_CASE("gateways agree on the members of each cell", "[cells]")
 {
   std::vector<GatewayMember> fleet;
   for (std::size_t i = 0; i < 300; ++i) {
--- a/test/ConfigurationOverNarrowLinks.cpp
+++ b/test/ConfigurationOverNarrowLinks.cpp
@@ -13,7 +13,7 @@
 constexpr int kManyRoutes = 1400;
 constexpr std::size_t kBytesPerSecond = 300'000;
 
-/// Gateways that reach the store over a narrow link each.
+/// Gateways that each reach the store over their own link of limited bandwidth.
 struct NarrowSite : PlatformSite
 {
   explicit NarrowSite(int aGateways)
@@ -56,14 +56,15 @@
   std::vector<std::unique_ptr<NarrowLink>> links;
 };
 
-/// One read of kManyRoutes that is lost midway and one that is whole take about
-/// 3 s over such a link.
+/// One read of kManyRoutes that is aborted midway and one complete read take
+/// about 3 s over such a link.
 constexpr Duration kInForceWithin = seconds(5);
 
 } // namespace
 
-// Gateways never apply a configuration whose read outlasts the limit of a call.
-TEST_CASE("a large configuration arrives though its first read is cut",
+// A read of the configuration that takes longer than the time limit of a call
+// must not keep it from ever being applied.
+TEST_CASE("a large configuration is applied though its first read is aborted",
           "[narrow]")
 {
   NarrowSite site(4);
@@ -75,8 +76,9 @@
   CHECK(site.Until([&] { return site.AllHave(2); }, kInForceWithin));
 }
 
-// A gateway is never ready beside a configuration that it can't read in time.
-TEST_CASE("a gateway starts beside a large configuration", "[narrow]")
+// A configuration that can't be read within the time limit of a call must not
+// keep a gateway from becoming ready.
+TEST_CASE("a gateway becomes ready with a large configuration", "[narrow]")
 {
   NarrowSite site(0);
   site.PutMany(2);
@@ -85,8 +87,9 @@
   CHECK(site.AllHave(2));
 }
 
-// Each change that comes during a read delays the newest by a whole document.
-TEST_CASE("changes faster than a read leave the newest in force in time",
+// If each change during a read started the read again, the newest version would
+// be delayed by a whole document each time.
+TEST_CASE("the newest version is applied in time though changes outpace reads",
           "[narrow]")
 {
   NarrowSite site(2);
@@ -98,10 +101,9 @@
   CHECK(site.Until([&] { return site.AllHave(kLast); }, kInForceWithin));
 }
 
-// A link that falls silent in the midst of an answer holds a gateway up for
-// good.
-TEST_CASE("an answer that stands still is given up for another gateway's copy",
-          "[narrow]")
+// A link stalls in the middle of an answer without closing, which would block
+// the gateway for good.
+TEST_CASE("a stalled read is abandoned for another gateway's copy", "[narrow]")
 {
   NarrowSite site(2);
   site.PutMany(2);
@@ -110,10 +112,9 @@
   CHECK(site.Until([&] { return site.AllHave(2); }, kInForceWithin));
 }
 
-// A caller is told that a route does not exist which the newest configuration
-// has.
-TEST_CASE("a gateway that knows of a newer configuration denies no route",
-          "[narrow]")
+// An outdated gateway must not answer that a route does not exist which the
+// newest configuration may have.
+TEST_CASE("no 404 while a newer configuration is known of", "[narrow]")
 {
   PlatformSite site(1);
   Gateway& gateway = site.ReadyGateway();
@@ -136,8 +137,8 @@
   CHECK(site.Ask(gateway, "/new/x", "a-4").starts_with("HTTP/1.1 404"));
 }
 
-// Others draw a large configuration whole from the few that have it.
-TEST_CASE("gateways hand on the configuration compressed", "[narrow]")
+// Many gateways may fetch a large configuration from the few that have it.
+TEST_CASE("gateways send the configuration compressed", "[narrow]")
 {
   NarrowSite site(1);
   site.PutMany(2);
@@ -161,8 +162,8 @@
   CHECK_FALSE(Decompress("no frame", plain.body.size()).ok());
 }
 
-// A document that this version can't read is drawn again and again.
-TEST_CASE("a copy that brings nothing is not asked for again at once",
+// A document that this version can't parse would be fetched in a loop.
+TEST_CASE("a gateway whose copy was not applied is not asked again at once",
           "[narrow]")
 {
   PlatformSite site(1);
@@ -181,7 +182,7 @@
     gateway.OnDigest(digest, other.Address());
     site.Until([] { return false; }, milliseconds(50));
   }
-  // In 1.5 s, of which the store's own answer has the first 0.3.
+  // The loop takes 1.5 s, of which the first 0.3 s are left to the store.
   CHECK(other.Paths().size() >= 1);
   CHECK(other.Paths().size() <= 2);
 }
--- a/test/CrashingRequest.cpp
+++ b/test/CrashingRequest.cpp
@@ -7,19 +7,19 @@
 
 namespace {
 
-/// By then every gateway has heard what the others saw.
-constexpr Duration kContact = milliseconds(600);
+/// Time within which every gateway has received the others' evidence.
+constexpr Duration kExchangeTime = milliseconds(600);
 constexpr std::size_t kGateways = 4;
 
-/// Runs of the crashing body that began later than kContact after it had
-/// crashed its third engine.
+/// Number of runs of the crashing body that began later than kExchangeTime
+/// after it had crashed its third engine.
 std::size_t
 LateRuns(const CrashSite& aSite)
 {
   if (aSite.crashes.size() < 3) {
     return 0;
   }
-  const TimePoint from = aSite.crashes[2] + kContact;
+  const TimePoint from = aSite.crashes[2] + kExchangeTime;
   std::size_t count = 0;
   for (const standins::SealedRun& run : aSite.Runs()) {
     count += run.body == CrashSite::kCrashBody && run.at > from ? 1 : 0;
@@ -27,7 +27,7 @@
   return count;
 }
 
-/// Notes take a tenth of a second, so that a crash breaks some off.
+/// Requests take 100 ms, so that a crash aborts some.
 standins::SealedEngineSettings
 LongNotes()
 {
@@ -44,9 +44,9 @@
   std::size_t refused = 0;
 };
 
-/// Sends others' notes at every gateway, each with a body of its own, and with
-/// \p aWithCrashing one that crashes engines every 80 ms, at each gateway in
-/// turn. \return how the others fared in this time.
+/// Sends a harmless request with a unique body every 10 ms, and with
+/// \p aWithCrashing also the crashing one every 80 ms, to the gateways in turn.
+/// \return the results of the harmless ones.
 Served
 PlayNotes(CrashSite& aSite, Duration aTime, bool aWithCrashing)
 {
@@ -77,21 +77,21 @@
 
 } // namespace
 
-// Notes fail for all callers of a service: one of them sends a request that
-// crashes each engine that begins it, gets 502 and sends it again, under a new
-// id, at any gateway. Each gateway took each try for a new request, so engine
-// after engine crashed and broke off all that it ran. Evidence: one fingerprint
-// was among the attempts that broke off at every engine that ended.
-TEST_CASE("a request that crashes engines is kept from them", "[crashing]")
+// A caller's request crashes each engine that starts it; the caller gets 502
+// and retries it, under a new id, at any gateway. If each retry counted as a
+// new request, engine after engine would crash and abort the requests of all
+// other callers. The evidence: the same fingerprint is among the requests
+// aborted at every engine that crashed.
+TEST_CASE("a request that crashes engines is quarantined", "[crashing]")
 {
   CrashSite site(12, kGateways, LongNotes());
   const Served before = PlayNotes(site, milliseconds(300), false);
   CHECK(before.served == before.sent);
   PlayNotes(site, seconds(2), true);
-  INFO("engines ended: " << site.crashes.size());
+  INFO("engines crashed: " << site.crashes.size());
   REQUIRE(site.crashes.size() >= 3);
   CHECK(LateRuns(site) <= 3);
-  // What the others get once it is known: nearly all.
+  // Once it is quarantined, nearly all other requests are served.
   const Served after = PlayNotes(site, seconds(1), true);
   CHECK(after.refused == 0);
   CHECK(static_cast<double>(after.served) >=
@@ -100,7 +100,7 @@
 
 namespace {
 
-/// Sends the same request of an innocent caller at all gateways each 10 ms.
+/// Sends the same harmless request every 10 ms, to the gateways in turn.
 std::size_t
 SendPolls(CrashSite& aSite, const std::string& aPath, Duration aTime)
 {
@@ -132,10 +132,11 @@
 
 } // namespace
 
-// All engines of a service are killed at once, four times, with the same poll
-// of one caller under way each time. It is at each end, and so are its copies;
-// the answers that it gets in between say that it is not to blame.
-TEST_CASE("polls outlive the end of all engines", "[crashing]")
+// All engines of a service are killed at once, four times, each time with the
+// same poll of one caller in flight. Its fingerprint is among the aborted
+// requests of every engine, but the answers in between clear it.
+TEST_CASE("a repeated request is not quarantined when all engines are killed",
+          "[crashing]")
 {
   CrashSite site(6, kGateways, LongNotes());
   for (int i = 0; i < 4; ++i) {
@@ -149,10 +150,10 @@
   CHECK(site.sent.back().socket.Has("HTTP/1.1 200"));
 }
 
-// Engines are replaced by a release: each says that it leaves, and ends after
-// the time within which no more work may come, which cuts the same caller's
-// long notes each time. A planned end is no crash.
-TEST_CASE("notes that a release cuts are not suspected", "[crashing]")
+// Engines are replaced in a release: each announces its departure and exits
+// after the drain time, which aborts the same caller's long requests each time.
+// A planned exit is no crash.
+TEST_CASE("requests aborted by a planned exit are not suspected", "[crashing]")
 {
   standins::SealedEngineSettings notes = LongNotes();
   notes.events = 100;
@@ -170,9 +171,9 @@
   CHECK(HasNoSuspects(site));
 }
 
-// Engines break off each answer and go on: callers get nothing whole, though no
-// engine ends. The request is not to blame and must not be refused for it.
-TEST_CASE("engines that reset answers blame no request", "[crashing]")
+// Engines reset each answer but keep running. As no engine crashes, the request
+// must not be quarantined.
+TEST_CASE("reset answers of live engines make no request suspect", "[crashing]")
 {
   CrashSite site(4, kGateways);
   site.SetFault(CrashSite::Fault("crash_after", 1));
@@ -190,10 +191,10 @@
   CHECK(site.sent.back().IsServed());
 }
 
-// Ten callers bring the crashing body to ten gateways at once, again and again.
-// The first ten may run, since nothing is known; from then on copies go one
-// after the other, until three ends are known.
-TEST_CASE("copies at ten gateways end a bounded number of engines",
+// Ten callers repeatedly send the crashing body to ten gateways at once. The
+// first ten may run, as nothing is known yet; from then on duplicates run one
+// at a time until three crashes are known.
+TEST_CASE("duplicates at ten gateways crash a bounded number of engines",
           "[crashing]")
 {
   constexpr std::size_t kMany = 10;
@@ -210,10 +211,9 @@
   CHECK(site.sent.back().IsQuarantined());
 }
 
-// One gateway starts when the quarantine stands already, and then all of them
-// are killed and start anew with empty memories. The caller goes on all the
-// while; neither may send its request on.
-TEST_CASE("a quarantine outlives the gateways", "[crashing]")
+// A gateway that starts while a request is quarantined, and gateways that were
+// all killed and restarted, must not forward the request.
+TEST_CASE("a quarantine survives the restart of all gateways", "[crashing]")
 {
   CrashSite site(8, 2, LongNotes());
   while (site.crashes.size() < 3) {
@@ -237,9 +237,11 @@
   CHECK(site.CrashingRuns() == before);
 }
 
-// The engines' new version runs the request that crashed the old one. When its
-// quarantine is over one copy tries it, and its answer lets the others go on.
-TEST_CASE("a request that crashes no more is served again", "[crashing]")
+// A new version of the engines completes the request that crashed the old one.
+// After the quarantine one duplicate is tried, and its answer releases the
+// others.
+TEST_CASE("a request that no longer crashes engines is served again",
+          "[crashing]")
 {
   CrashSite site(6, kGateways, LongNotes(), seconds(3));
   while (site.crashes.size() < 3) {
@@ -250,7 +252,7 @@
   site.Send(1, "/note/stream/x", CrashSite::kCrashBody);
   site.Settle();
   CHECK(site.sent.back().IsQuarantined());
-  site.Cure();
+  site.FixEngines();
   site.CrashEngines(6);
   site.Run(seconds(3));
   for (std::size_t gateway = 0; gateway < kGateways; ++gateway) {
@@ -261,38 +263,38 @@
   CHECK(std::prev(site.sent.end(), kGateways)->IsServed());
 }
 
-// A request has ended two servers. A third one, which fails a part of what it
-// gets, answers it with its own 500 before it has run it to its end. Taken for
-// an answer, that would clear the request, and it would end three more.
-TEST_CASE("a server's own failure clears no request", "[crashing]")
+// A request has crashed two servers. A third one answers it with an internal
+// error (500) before it has run it to the end. If that counted as an answer, it
+// would clear the request, which would then crash three more servers.
+TEST_CASE("a server's 500 does not clear a suspect request", "[crashing]")
 {
   standins::SealedEngineSettings slow;
   slow.work = milliseconds(200);
   CrashSite site(3, 2, slow);
   const auto send = [&] { site.Send(0, "/once/x", "ends servers"); };
-  const auto endUnderIt = [&] {
+  const auto crashDuringIt = [&] {
     send();
     site.Run(milliseconds(80));
     site.CrashEngines(3);
     site.Run(milliseconds(1000));
   };
-  endUnderIt();
-  endUnderIt();
+  crashDuringIt();
+  crashDuringIt();
   site.SetFault(CrashSite::Fault("error", true));
   send();
   site.Settle();
   CHECK(site.sent.back().socket.Has("HTTP/1.1 500"));
   site.SetFault(CrashSite::Fault("clear", true));
-  endUnderIt();
+  crashDuringIt();
   send();
   site.Settle();
   CHECK(site.sent.back().IsQuarantined());
 }
 
-// A quarantine is over and four gateways get the request, a moment apart. One
-// copy tries whether it still ends its server; the others wait for what comes
-// of it, so that one more server ends and not four.
-TEST_CASE("after a quarantine one copy is tried", "[crashing]")
+// After a quarantine four gateways receive the request shortly after one
+// another. One duplicate is tried while the others wait for its result, so that
+// one more server crashes and not four.
+TEST_CASE("after a quarantine one duplicate is tried at a time", "[crashing]")
 {
   standins::SealedEngineSettings slow = LongNotes();
   slow.crashDelay = milliseconds(300);
--- a/test/DirectoryKeeper.cpp
+++ b/test/DirectoryKeeper.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// Routes as a version number, instances as "STATE" or "STATE@START".
+/// Encodes routes as a version number, instances as "STATE" or "STATE@START".
 class PlainFormat final : public DirectoryFormat
 {
 public:
@@ -83,7 +83,7 @@
     this->store.Write("routes", "5");
     this->store.Write("instances/e1", "ready");
     this->store.Write("instances/e2", "ready");
-    this->keeper.Start();
+    this->directory.Start();
     REQUIRE(this->Until([&] { return this->observer.instances.size() == 2; }));
   }
   bool Until(const std::function<bool()>& aDone,
@@ -106,30 +106,30 @@
   FakeStore store{ *loop };
   PlainFormat format;
   Observer observer;
-  DirectoryKeeper keeper{ *loop,
-                          store,
-                          format,
-                          { { InstanceName("g1"), { "127.0.0.1", 9 } },
-                            milliseconds(50) },
-                          observer };
+  DirectoryKeeper directory{ *loop,
+                             store,
+                             format,
+                             { { InstanceName("g1"), { "127.0.0.1", 9 } },
+                               milliseconds(50) },
+                             observer };
 };
 
 } // namespace
 
-TEST_CASE("only a higher version is taken", "[directory]")
+TEST_CASE("routes of an equal or lower version are rejected", "[directory]")
 {
   Setup setup;
   setup.store.Write("routes", "4");
   setup.store.Write("routes", "5");
   setup.Pass(milliseconds(100));
   CHECK(setup.observer.versions == std::vector<Epoch>{ 5 });
-  CHECK_FALSE(setup.keeper.Routes().Take("3", "g2"));
-  CHECK(setup.keeper.Routes().Take("9", "g2"));
-  CHECK(setup.keeper.Routes().Version() == 9);
-  CHECK_FALSE(setup.keeper.Routes().Take("0", "g2"));
+  CHECK_FALSE(setup.directory.Routes().Take("3", "g2"));
+  CHECK(setup.directory.Routes().Take("9", "g2"));
+  CHECK(setup.directory.Routes().Version() == 9);
+  CHECK_FALSE(setup.directory.Routes().Take("0", "g2"));
 }
 
-TEST_CASE("a server that leaves does not come back by an older list",
+TEST_CASE("an outdated entry does not bring back a leaving server",
           "[directory]")
 {
   Setup setup;
@@ -140,11 +140,10 @@
   CHECK_FALSE(setup.observer.Has("e1"));
 }
 
-// A server drains, ends and starts again under its name. Callers wait behind
-// the servers that are left, since its entry is read as the one that said it
-// leaves.
-TEST_CASE("a server that starts again under its name is used again",
-          "[directory]")
+// A server drains, exits and restarts under the same name. If its new entry
+// were taken for the leaving one, the server would stay unused and callers
+// would queue at the others.
+TEST_CASE("a server that restarts under its name is used again", "[directory]")
 {
   Setup setup;
   setup.store.Write("instances/e1", "leaving@100");
@@ -155,9 +154,9 @@
   CHECK(setup.observer.instances.size() == 2);
 }
 
-// Another gateway's list still has the server before its restart: requests
-// would be placed by a cache that is gone, then by the new one, in turn.
-TEST_CASE("an earlier incarnation that is told late replaces none",
+// An outdated list still has a server as it was before its restart. Using it
+// would route requests alternately by the lost cache and by the new one.
+TEST_CASE("an outdated list does not bring back an earlier incarnation",
           "[directory]")
 {
   Setup setup;
@@ -169,11 +168,11 @@
     setup.Pass(milliseconds(200));
     CHECK_FALSE(setup.observer.Has("e1@100"));
   }
-  SECTION("by a gateway that doesn't tell the start")
+  SECTION("from a gateway that doesn't send the start")
   {
     setup.store.mode = FakeStore::Mode::Down;
     setup.Pass(milliseconds(100));
-    setup.keeper.TakeInstances(
+    setup.directory.TakeInstances(
       R"({"age_ms":1,"instances":[{"name":"e1","service":"s",)"
       R"("address":"127.0.0.1:80","data_centre":"z","slots":1,)"
       R"("leaving":false}]})",
@@ -183,32 +182,33 @@
   }
 }
 
-// Something else writes where a server had its entry, while the store comes and
-// goes. Requests would go on to an address that nobody vouches for.
-TEST_CASE("an entry that becomes unreadable names no server from then on",
+// A server's entry is overwritten with malformed data, also during an outage of
+// the store. Requests must not go on to the address of the former entry.
+TEST_CASE("a server whose entry becomes malformed is removed from the list",
           "[directory]")
 {
   Setup setup;
   setup.store.Write("instances/e1", "unreadable");
   REQUIRE(setup.Until([&] { return !setup.observer.Has("e1"); }));
   CHECK(setup.observer.Has("e2"));
-  CHECK(setup.keeper.RejectedCount() == 1);
+  CHECK(setup.directory.RejectedCount() == 1);
   setup.store.Write("instances/e1", "ready");
   REQUIRE(setup.Until([&] { return setup.observer.Has("e1"); }));
-  CHECK(setup.keeper.RejectedCount() == 0);
+  CHECK(setup.directory.RejectedCount() == 0);
   setup.store.mode = FakeStore::Mode::Down;
   setup.Pass(milliseconds(200));
   setup.store.Write("instances/e1", "unreadable");
   setup.store.mode = FakeStore::Mode::Up;
-  // Well before the entries that lapsed in the outage are given up.
+  // Well before entries that expired in the outage are dropped.
   CHECK(
     setup.Until([&] { return !setup.observer.Has("e1"); }, milliseconds(1000)));
   CHECK(setup.observer.Has("e2"));
 }
 
-// Half of the servers get no more work after an outage of the store: their
-// entries lapsed while it was down, and they are back only a second later.
-TEST_CASE("entries that lapse while the store is down are kept for a while",
+// Entries expire during an outage of the store, and live servers write theirs
+// again only about a second later. Dropping the missing ones at once would
+// leave half of the servers unused.
+TEST_CASE("entries that expire in a store outage are kept for a grace period",
           "[directory]")
 {
   Setup setup;
@@ -222,26 +222,29 @@
   CHECK(setup.Until([&] { return !setup.observer.Has("e1"); }));
 }
 
-// A request reaches a server 3.4 s after it left: the store had turned only
-// this gateway away, and on its return the missing entry was kept.
-TEST_CASE("what left while only this gateway was turned away is gone",
-          "[directory]")
+// Only this gateway loses the store, and a server leaves meanwhile. Keeping the
+// missing entry afterwards sent a request to the server 3.4 s after it had
+// left.
+TEST_CASE(
+  "a server that left while only this gateway lost the store is dropped",
+  "[directory]")
 {
   Setup setup;
   setup.store.mode = FakeStore::Mode::Down;
   setup.Pass(milliseconds(200));
   setup.Remove("instances/e1");
-  setup.keeper.NoteOthersContact(seconds(30), Now());
+  setup.directory.NoteOthersContact(seconds(30), Now());
   setup.store.mode = FakeStore::Mode::Up;
   CHECK(
     setup.Until([&] { return !setup.observer.Has("e1"); }, milliseconds(500)));
 }
 
-TEST_CASE("another gateway's list counts only if it is newer", "[directory]")
+TEST_CASE("another gateway's list is applied only if it is newer",
+          "[directory]")
 {
   Setup setup;
   setup.store.mode = FakeStore::Mode::Down;
-  const std::string own = setup.keeper.InstancesDocument(Now());
+  const std::string own = setup.directory.InstancesDocument(Now());
   setup.Pass(milliseconds(100));
   const auto with = [](int aAge) {
     return fmt::format(
@@ -250,27 +253,28 @@
       R"("leaving":false}}]}})",
       aAge);
   };
-  setup.keeper.TakeInstances(with(60'000), "g2");
+  setup.directory.TakeInstances(with(60'000), "g2");
   CHECK_FALSE(setup.observer.Has("e7"));
-  setup.keeper.TakeInstances("not a list", "g2");
-  setup.keeper.TakeInstances(with(1), "g2");
+  setup.directory.TakeInstances("not a list", "g2");
+  setup.directory.TakeInstances(with(1), "g2");
   CHECK(setup.observer.Has("e7"));
   CHECK_FALSE(setup.observer.Has("e1"));
   CHECK(own.find("\"e1\"") != std::string::npos);
 }
 
-TEST_CASE("a gateway joins the others and leaves them", "[directory]")
+TEST_CASE("a gateway registers with a lease and revokes it when it leaves",
+          "[directory]")
 {
   Setup setup;
   REQUIRE(setup.Until([&] { return setup.observer.gateways == 1; }));
   CHECK(setup.store.GrantedLeases() == 1);
-  setup.keeper.Leave();
+  setup.directory.Leave();
   CHECK(setup.Until([&] { return setup.store.GrantedLeases() == 0; }));
 }
 
-// All gateways of a site end at once and begin anew: one of another version
-// hands out a list in which a field has another type, and reading it threw.
-TEST_CASE("documents of a wrong shape change nothing and end nothing",
+// A gateway of another version sends a list in which a field has another type.
+// An exception while parsing it would crash all gateways of a site at once.
+TEST_CASE("malformed documents are ignored and throw no exception",
           "[directory]")
 {
   Setup setup;
@@ -285,7 +289,7 @@
   };
   for (const std::string& document : wrong) {
     INFO(document);
-    CHECK_NOTHROW(setup.keeper.TakeInstances(document, "g2"));
+    CHECK_NOTHROW(setup.directory.TakeInstances(document, "g2"));
     CHECK(setup.observer.Has("e1"));
     CHECK_FALSE(setup.observer.Has("e7"));
   }
@@ -295,10 +299,12 @@
   CHECK(setup.Until([&] { return setup.observer.gateways == 2; }));
 }
 
-// No gateway of a large site serves for half a minute after all were killed:
-// each reads the whole list at once, the store turns most of them away for too
-// many reads, and they ask again together.
-TEST_CASE("a first list may be old, a later one may not", "[directory]")
+// All gateways of a large site are killed and restart together. Their
+// consistent reads of the whole list exceed the store's limit and are retried
+// together, so that no gateway serves for half a minute; a stale first read
+// avoids that.
+TEST_CASE("the first read of the list may be stale, later ones may not",
+          "[directory]")
 {
   Setup setup(FakeStore::Mode::OnlyStaleReads);
   CHECK(setup.observer.Has("e1"));
@@ -311,20 +317,20 @@
 
 namespace {
 
-/// A keeper of which nothing is kept beside the list any more.
+/// A directory past the grace period, which lists exactly what the store has.
 struct SettledSetup : Setup
 {
   SettledSetup()
   {
     this->Pass(DirectoryKeeper::kReturnGrace + milliseconds(200));
   }
-  std::uint64_t CallsIn(Duration aTime, bool aTold)
+  std::uint64_t CallsIn(Duration aTime, bool aWithReports)
   {
     const std::uint64_t before = this->store.CallsSent();
     for (Duration at{ 0 }; at < aTime; at += milliseconds(10)) {
-      if (aTold) {
-        this->keeper.NoteOthersList(
-          { this->keeper.List(Now()).sum, milliseconds(1) }, Now());
+      if (aWithReports) {
+        this->directory.NoteOthersList(
+          { this->directory.List(Now()).sum, milliseconds(1) }, Now());
       }
       this->Pass(milliseconds(10));
     }
@@ -334,38 +340,39 @@
 
 } // namespace
 
-// A request reaches a server 3.1 s after it said that it leaves: gateways told
-// each other that their list is fresh, each time by some milliseconds too
-// young, and none of them read it.
-TEST_CASE("a list that others call fresh is read by oneself all the same",
+// Gateways report to each other that their list is fresh, each time some
+// milliseconds too young, until none of them reads it: a request reached a
+// server 3.1 s after it had announced its departure.
+TEST_CASE("reports of a fresh list don't postpone own reads without limit",
           "[directory]")
 {
   SettledSetup setup;
   const std::uint64_t alone = setup.CallsIn(milliseconds(900), false);
-  const std::uint64_t told = setup.CallsIn(milliseconds(900), true);
-  // Of 18 periods, and at least every one and a half of them.
-  CHECK(told < alone);
-  CHECK(told >= 10);
-  // Its age is that of the gateway's own read.
-  setup.keeper.NoteOthersList({ setup.keeper.List(Now()).sum, milliseconds(0) },
-                              Now());
+  const std::uint64_t withReports = setup.CallsIn(milliseconds(900), true);
+  // 900 ms are 18 periods; a read takes place at least every 1.5 periods.
+  CHECK(withReports < alone);
+  CHECK(withReports >= 10);
+  // The reported age is that of the gateway's own read.
+  setup.directory.NoteOthersList(
+    { setup.directory.List(Now()).sum, milliseconds(0) }, Now());
   setup.store.mode = FakeStore::Mode::Down;
   setup.Pass(milliseconds(200));
-  setup.keeper.NoteOthersList({ setup.keeper.List(Now()).sum, milliseconds(0) },
-                              Now());
-  CHECK(setup.keeper.List(Now()).age >= milliseconds(150));
+  setup.directory.NoteOthersList(
+    { setup.directory.List(Now()).sum, milliseconds(0) }, Now());
+  CHECK(setup.directory.List(Now()).age >= milliseconds(150));
 }
 
-TEST_CASE("a newer list that others have is read at once", "[directory]")
+TEST_CASE("a newer list reported by another gateway is read at once",
+          "[directory]")
 {
   SettledSetup setup;
-  const std::uint64_t sum = setup.keeper.List(Now()).sum;
+  const std::uint64_t sum = setup.directory.List(Now()).sum;
   REQUIRE(sum != 0);
   setup.store.mode = FakeStore::Mode::Down;
   setup.Pass(milliseconds(100));
-  setup.keeper.NoteOthersList({ sum + 1, milliseconds(0) }, Now());
-  CHECK_FALSE(setup.keeper.IsBehind(Now()));
-  CHECK(setup.Until([&] { return setup.keeper.IsBehind(Now()); }));
+  setup.directory.NoteOthersList({ sum + 1, milliseconds(0) }, Now());
+  CHECK_FALSE(setup.directory.IsBehind(Now()));
+  CHECK(setup.Until([&] { return setup.directory.IsBehind(Now()); }));
   setup.store.mode = FakeStore::Mode::Up;
-  CHECK(setup.Until([&] { return !setup.keeper.IsBehind(Now()); }));
+  CHECK(setup.Until([&] { return !setup.directory.IsBehind(Now()); }));
 }
--- a/test/LeavingServers.cpp
+++ b/test/LeavingServers.cpp
@@ -8,7 +8,8 @@
 namespace {
 
 constexpr std::size_t kGateways = 4;
-/// Within which a leaving server must get no more, see PlatformSite.
+/// Time after which a leaving server must receive no more requests, see
+/// PlatformSite.
 constexpr Duration kDrain = milliseconds(300);
 
 std::size_t
@@ -19,9 +20,9 @@
 
 } // namespace
 
-// Guards against work for a server that says in its answers that it leaves,
-// while the store can tell nobody.
-TEST_CASE("a server that says it leaves gets no more with the store away",
+// A server announces its departure in its answers while the store is
+// unavailable: the gateways must inform each other.
+TEST_CASE("a leaving server gets no requests while the store is unavailable",
           "[backpressure]")
 {
   FleetSite site;
@@ -31,16 +32,17 @@
   site.Play(milliseconds(300));
   site.store->SetFault(FleetSite::Fault("silent"));
   leaving.SetFault(FleetSite::Fault("leaving"));
-  const TimePoint said = Now();
+  const TimePoint announcedAt = Now();
   site.Play(seconds(2));
-  CHECK(ArrivedFrom(leaving, said) > 0);
-  CHECK(ArrivedFrom(leaving, said + kDrain) == 0);
+  CHECK(ArrivedFrom(leaving, announcedAt) > 0);
+  CHECK(ArrivedFrom(leaving, announcedAt + kDrain) == 0);
   CHECK(site.ServedCount() == site.sent.size());
 }
 
-// Guards against an older list, or a gateway that starts late, bringing a
-// leaving server back.
-TEST_CASE("no list takes back that a server leaves", "[backpressure]")
+// Neither an outdated list nor a gateway that starts later may bring a leaving
+// server back.
+TEST_CASE("an outdated list does not bring back a leaving server",
+          "[backpressure]")
 {
   FleetSite site;
   standins::SealedEngine& leaving = site.AddEngine("leaving");
@@ -58,7 +60,7 @@
   CHECK(site.ServedCount() == site.sent.size());
 }
 
-TEST_CASE("a server that starts again under its name gets work",
+TEST_CASE("a server that restarts under its name gets requests again",
           "[backpressure]")
 {
   FleetSite site;
@@ -78,7 +80,7 @@
   CHECK(site.ServedCount() == site.sent.size());
 }
 
-TEST_CASE("the word that a server leaves is told for a while and kept longer",
+TEST_CASE("a departure is reported for a while and remembered for longer",
           "[backpressure]")
 {
   const InstanceName server("e1");
@@ -94,13 +96,13 @@
   LeavingServers other;
   CHECK(other.Hear({ server, seconds(50) }, start));
   CHECK_FALSE(other.Hear({ server, seconds(1) }, start));
-  // Passing the word on does not make it younger.
+  // Forwarding a report does not make it younger.
   CHECK(other.Tell(start + seconds(10)).empty());
   CHECK(other.Contains(server));
   CHECK_FALSE(other.Hear({ InstanceName("e2"), std::chrono::hours(1) }, start));
 }
 
-TEST_CASE("of too many leaving servers the earliest are forgotten",
+TEST_CASE("the earliest departures are evicted when there are too many",
           "[backpressure]")
 {
   LeavingServers servers;
@@ -114,10 +116,8 @@
   CHECK(servers.Tell(start + seconds(10)).size() == LeavingServers::kMostNews);
 }
 
-TEST_CASE(
-  "a server that is listed for longer than its word is remembered stays "
-  "out",
-  "[backpressure]")
+TEST_CASE("a listed server stays unused after its departure is forgotten",
+          "[backpressure]")
 {
   auto loop = *EventLoop::Create();
   BackendPool pool(*loop, {});
@@ -143,10 +143,10 @@
   CHECK(pool.IsLeaving(listed[0].name));
 }
 
-// Guards against a list that a gateway reads late, older than the word that it
-// has heard.
-TEST_CASE("a server that is listed after its word was heard gets no work",
-          "[backpressure]")
+// A gateway reads a list that is older than the report of the departure.
+TEST_CASE(
+  "a server that is listed after its reported departure gets no requests",
+  "[backpressure]")
 {
   auto loop = *EventLoop::Create();
   BackendPool pool(*loop, {});
--- a/test/QuarantineKeeper.cpp
+++ b/test/QuarantineKeeper.cpp
@@ -24,20 +24,22 @@
   std::unique_ptr<EventLoop> loop = *EventLoop::Create();
   FakeStore store{ *loop };
   std::vector<QuarantineVerdict> read;
-  QuarantineKeeper keeper{ *loop, store, [this](const QuarantineVerdict& aOne) {
-                            this->read.push_back(aOne);
-                          } };
+  QuarantineKeeper quarantines{ *loop,
+                                store,
+                                [this](const QuarantineVerdict& aOne) {
+                                  this->read.push_back(aOne);
+                                } };
 };
 
 } // namespace
 
-TEST_CASE("a quarantine is kept under a lease and read again", "[quarantine]")
+TEST_CASE("a quarantine is stored under a lease and read back", "[quarantine]")
 {
   Setup setup;
-  setup.keeper.Keep({ 0xab, 3, false, seconds(60) });
+  setup.quarantines.Keep({ 0xab, 3, false, seconds(60) });
   REQUIRE(setup.Until([&] { return setup.store.ValueOf(kKey) == "3"; }));
   CHECK(setup.store.GrantedLeases() == 1);
-  setup.keeper.Start();
+  setup.quarantines.Start();
   REQUIRE(setup.Until([&] { return !setup.read.empty(); }));
   CHECK(setup.read[0].request == 0xab);
   CHECK(setup.read[0].round == 3);
@@ -45,28 +47,29 @@
   CHECK(setup.read[0].left > seconds(3600));
 }
 
-TEST_CASE("a lifted quarantine takes the place of the one before",
-          "[quarantine]")
+TEST_CASE("a lifted quarantine replaces the stored one", "[quarantine]")
 {
   Setup setup;
-  setup.keeper.Keep({ 0xab, 3, false, seconds(60) });
-  setup.keeper.Keep({ 0xab, 3, true, seconds(0) });
+  setup.quarantines.Keep({ 0xab, 3, false, seconds(60) });
+  setup.quarantines.Keep({ 0xab, 3, true, seconds(0) });
   REQUIRE(setup.Until([&] { return setup.store.ValueOf(kKey) == "3 lifted"; }));
   setup.Pass(milliseconds(50));
-  setup.keeper.Start();
+  setup.quarantines.Start();
   REQUIRE(setup.Until([&] { return !setup.read.empty(); }));
   CHECK(setup.read[0].isLifted);
   CHECK(setup.read[0].left == Duration::zero());
 }
 
-// The store is away when a request is quarantined and again when the gateways
-// start anew: they would let it through for as long as the store stays away.
-TEST_CASE("an absent store is tried again", "[quarantine]")
+// The store is unavailable when a request is quarantined, and again when the
+// gateways restart. Without retries they would let the request through even
+// after the store has recovered.
+TEST_CASE("reads and writes are retried until the store is available",
+          "[quarantine]")
 {
   Setup setup;
   setup.store.mode = FakeStore::Mode::Down;
-  setup.keeper.Keep({ 0xab, 1, false, seconds(60) });
-  setup.keeper.Start();
+  setup.quarantines.Keep({ 0xab, 1, false, seconds(60) });
+  setup.quarantines.Start();
   setup.Pass(milliseconds(2200));
   CHECK(setup.read.empty());
   setup.store.mode = FakeStore::Mode::Up;
@@ -74,13 +77,13 @@
   CHECK(setup.Until([&] { return !setup.read.empty(); }));
 }
 
-TEST_CASE("what is no quarantine is not taken", "[quarantine]")
+TEST_CASE("malformed stored quarantines are ignored", "[quarantine]")
 {
   Setup setup;
   setup.store.Write("dogwoodvale/quarantine/xyz", "1");
   setup.store.Write("dogwoodvale/quarantine/00000000000000ac", "many");
   setup.store.Write(kKey, "2");
-  setup.keeper.Start();
+  setup.quarantines.Start();
   REQUIRE(setup.Until([&] { return !setup.read.empty(); }));
   CHECK(setup.read.size() == 1);
   CHECK(setup.read[0].request == 0xab);
--- a/test/RoutesCatchUp.cpp
+++ b/test/RoutesCatchUp.cpp
@@ -16,7 +16,7 @@
   return TimePoint(seconds(100)) + milliseconds(aMillis);
 }
 
-/// At version 5, with a watch that stands.
+/// At version 5, with an established watch.
 struct Setup
 {
   Setup() { this->catchUp.OnInForce(5); }
@@ -27,7 +27,7 @@
 
 } // namespace
 
-TEST_CASE("the store's own answer is awaited while its watch stands",
+TEST_CASE("an established watch is given time before a gateway is asked",
           "[catchup]")
 {
   Setup setup;
@@ -39,8 +39,7 @@
   CHECK(setup.catchUp.BehindFor(At(400)) == Duration::zero());
 }
 
-TEST_CASE("another gateway is asked at once where the watch is lost",
-          "[catchup]")
+TEST_CASE("another gateway is asked at once if the watch is lost", "[catchup]")
 {
   Setup setup;
   setup.catchUp.SetWatching(false);
@@ -48,8 +47,9 @@
   CHECK(setup.catchUp.Next(At(0), setup.random) == kFirst);
 }
 
-// The same document crosses a narrow link several times at once.
-TEST_CASE("one gateway is asked at a time", "[catchup]")
+// Concurrent requests would send the same document over a narrow link several
+// times.
+TEST_CASE("at most one request is in flight", "[catchup]")
 {
   Setup setup;
   setup.catchUp.SetWatching(false);
@@ -65,7 +65,7 @@
   CHECK(*other != *from);
 }
 
-TEST_CASE("a gateway that went silent is no reason to wait for its version",
+TEST_CASE("a version reported by a gateway that went silent expires",
           "[catchup]")
 {
   Setup setup;
@@ -77,8 +77,10 @@
   CHECK(setup.catchUp.BehindFor(At(9100)) == milliseconds(100));
 }
 
-// The first gateway with a new version sends it to all others.
-TEST_CASE("those who ask are spread over those who have it", "[catchup]")
+// Without the spread, the first gateway with a new version would send it to all
+// others.
+TEST_CASE("requests are spread over the gateways with the newest version",
+          "[catchup]")
 {
   constexpr int kGateways = 20;
   constexpr int kAskers = 400;
@@ -101,9 +103,9 @@
 
 namespace {
 
-/// Gateways that tell each other versions by digests that may be lost, late and
-/// out of order, and fetch by the rule under test; a fetch takes a while, may
-/// fail, and brings what its sender has when it ends.
+/// Simulates gateways that report versions in digests, which may be lost, late
+/// or reordered, and fetch routes by RoutesCatchUp. A fetch takes 50 to 900 ms,
+/// may fail, and returns the version that its sender has at the end.
 class Fleet
 {
 public:
@@ -116,7 +118,7 @@
     Epoch version = 1;
     std::optional<int> asks;
     int asksUntil = 0;
-    /// Versions fetched, by how often they came.
+    /// How often each version was fetched.
     std::map<Epoch, int> fetched;
   };
 
@@ -138,6 +140,7 @@
     }
   }
 
+  /// Advances the time by kStep milliseconds.
   /// \param aLoss share of digests and fetches that are lost.
   void Step(double aLoss)
   {
@@ -145,18 +148,19 @@
     for (int from = 0; from < kGateways; ++from) {
       for (int to = 0; to < kGateways; ++to) {
         if (from != to && !this->Chance(aLoss)) {
-          // Some digests overtake others.
-          const Epoch told = this->Chance(0.1) && this->before[from] > 0
-                               ? this->before[from]
-                               : this->gateways[from].version;
+          // A tenth of the digests carry the version of the step before, as if
+          // reordered.
+          const Epoch reported = this->Chance(0.1) && this->before[from] > 0
+                                   ? this->before[from]
+                                   : this->gateways[from].version;
           this->gateways[to].catchUp.OnTold(
-            AddressOf(from), told, At(this->now));
+            AddressOf(from), reported, At(this->now));
         }
       }
       this->before[from] = this->gateways[from].version;
     }
     for (int i = 0; i < kGateways; ++i) {
-      this->Tend(i, aLoss);
+      this->UpdateFetch(i, aLoss);
     }
   }
 
@@ -179,7 +183,7 @@
     return std::uniform_real_distribution<double>(0, 1)(this->random) < aShare;
   }
 
-  void Tend(int aGateway, double aLoss)
+  void UpdateFetch(int aGateway, double aLoss)
   {
     Gateway& gateway = this->gateways[aGateway];
     if (gateway.asks && this->now >= gateway.asksUntil) {
@@ -187,9 +191,9 @@
       const bool comes = !this->Chance(aLoss);
       gateway.catchUp.OnAnswer(AddressOf(from), comes, At(this->now));
       if (comes) {
-        const Epoch told = this->gateways[from].version;
-        ++gateway.fetched[told];
-        this->Take(aGateway, told);
+        const Epoch reported = this->gateways[from].version;
+        ++gateway.fetched[reported];
+        this->Take(aGateway, reported);
       }
     }
     const auto from = gateway.catchUp.Next(At(this->now), this->random);
@@ -208,7 +212,7 @@
 
 } // namespace
 
-TEST_CASE("all come to the newest version, none back, none twice",
+TEST_CASE("gateways converge to the newest version, each fetched at most once",
           "[catchup][property]")
 {
   REQUIRE(rc::check([] {
@@ -218,7 +222,7 @@
     Epoch newest = 1;
     for (int i = 0; i < changes; ++i) {
       newest += *rc::gen::inRange(1, 4);
-      // The store reaches one gateway only; all others hear of it.
+      // The store reaches one gateway only; the others learn of it by digests.
       fleet.Take(*rc::gen::inRange(0, Fleet::kGateways), newest);
       const int steps = *rc::gen::inRange(0, 20);
       for (int step = 0; step < steps; ++step) {
--- a/test/StoreEra.cpp
+++ b/test/StoreEra.cpp
@@ -45,9 +45,11 @@
 
 } // namespace
 
-// Two holders give orders with one token: the store lost the first one's lease,
-// and the second's key was created at a revision that was given out before.
-TEST_CASE("a lease ends with its era, and tokens rise over eras", "[era]")
+// The store was restored from an older copy and lost the first holder's lease.
+// The second holder's key is created at a revision that was used before, so
+// that both would have the same fencing token.
+TEST_CASE("a lease ends with its era, and fencing tokens rise across eras",
+          "[era]")
 {
   const auto loop = *EventLoop::Create();
   FakeStore store(*loop);
@@ -60,7 +62,7 @@
   const FencingToken first = lease.Fencing();
   CHECK(lease.MayOrder(Now()));
   store.Rewind(before);
-  // Any answer of the store tells of it.
+  // Any answer of the store carries the new era.
   bool hasRead = false;
   const auto call =
     store.Range({ .key = "any" },
@@ -71,9 +73,10 @@
   CHECK(lease.Fencing() > first);
 }
 
-// A gateway that stops ends another's lease: the number of its own, which went
-// with the era before, has been given out again.
-TEST_CASE("the number of a lease of the era before is another's", "[era]")
+// A gateway's lease was lost with the previous era, and the store has
+// reassigned its id: a gateway that stops would revoke another one's lease.
+TEST_CASE("a lease id of an earlier era is neither renewed nor revoked",
+          "[era]")
 {
   const auto loop = *EventLoop::Create();
   FakeStore store(*loop);
@@ -108,9 +111,10 @@
   CHECK_FALSE(store.ValueOf("dogwoodvale/gateways/g2").empty());
 }
 
-// Requests go to servers that left ten seconds ago: the copy of the store that
-// came back still lists them, until their entries lapse.
-TEST_CASE("servers that left are not back with an older copy", "[era]")
+// A store restored from an older copy lists servers that have left since, until
+// their entries expire. They must receive no requests.
+TEST_CASE("an older copy of the store does not bring back servers that left",
+          "[era]")
 {
   Departures departures;
   const Instances all = ListOf({ Server("a"), Server("b"), Server("c") });
@@ -124,28 +128,29 @@
   departures.DropGhosts(read, At(seconds(11)));
   REQUIRE(read.size() == 1);
   CHECK(read.contains(InstanceName("b")));
-  // One that is still listed afterwards renews its entry: it lives.
+  // A server that is still listed afterwards renews its entry, so it is live.
   Instances later = all;
   departures.DropGhosts(later, At(seconds(21)));
   CHECK(later.size() == 3);
 }
 
-TEST_CASE("a quarantine is kept again by who kept it", "[era]")
+TEST_CASE("a quarantine lost by the store is stored again by its writer",
+          "[era]")
 {
   const auto loop = *EventLoop::Create();
   FakeStore store(*loop);
-  QuarantineKeeper keeper(*loop, store, [](const QuarantineVerdict&) {});
-  keeper.Tend();
+  QuarantineKeeper quarantines(*loop, store, [](const QuarantineVerdict&) {});
+  quarantines.Tend();
   QuarantineVerdict verdict;
   verdict.request = 7;
   verdict.round = 1;
   verdict.left = seconds(60);
-  keeper.Keep(verdict);
+  quarantines.Keep(verdict);
   const std::string key =
     fmt::format("{}{}", QuarantineKeeper::kPrefix, FingerprintText(7));
   REQUIRE(
     loop->RunUntil([&] { return !store.ValueOf(key).empty(); }, seconds(2)));
-  keeper.Tend();
+  quarantines.Tend();
   store.Rewind({});
   CHECK(store.ValueOf(key).empty());
   bool hasRead = false;
@@ -153,14 +158,16 @@
     store.Range({ .key = "any" },
                 [&](const absl::StatusOr<RangeResult>&) { hasRead = true; });
   REQUIRE(loop->RunUntil([&] { return hasRead; }, seconds(1)));
-  keeper.Tend();
+  quarantines.Tend();
   CHECK(
     loop->RunUntil([&] { return !store.ValueOf(key).empty(); }, seconds(2)));
 }
 
-// A change of the configuration is not seen for ten seconds: the watch goes on
-// from a revision of the era before, which the store has passed again.
-TEST_CASE("a change is seen after the store went back", "[era]")
+// A watch that resumes from a revision of the previous era gets no error once
+// the restored store has passed that revision again, and changes of the
+// configuration were missed for ten seconds.
+TEST_CASE("a change is seen after the store was restored from an older copy",
+          "[era]")
 {
   test::PlatformSite site(1);
   const std::int64_t before = site.store->Revision();
@@ -174,7 +181,7 @@
   site.store->GoBackTo(before);
   site.Register("e1", *site.engines[0], "ready");
   site.Until([] { return false; }, milliseconds(600));
-  // The older copy's configuration does not come into force.
+  // The configuration of the older copy is not applied.
   CHECK(hasVersion(5));
   CHECK(gateway.Ready().ok());
   site.PutConfiguration(6);
--- a/test/UsageDuty.cpp
+++ b/test/UsageDuty.cpp
@@ -9,10 +9,10 @@
 
 namespace {
 
-/// Gateways that report usage of windows of a second.
-struct DutySite : PlatformSite
+/// Gateways that report usage in windows of one second.
+struct UsageSite : PlatformSite
 {
-  explicit DutySite(int aGateways)
+  explicit UsageSite(int aGateways)
   {
     this->duties.api = this->receiver->Address();
     this->duties.assigned = { "usage_report" };
@@ -22,11 +22,12 @@
     for (int i = 1; i <= aGateways; ++i) {
       this->ReadyGateway(fmt::format("g{}", i));
     }
-    this->Until([&] { return this->HolderIndex() < this->gateways.size(); });
+    this->Until([&] { return this->ReporterIndex() < this->gateways.size(); });
   }
 
-  /// \return the number of gateways where none says that it holds the duty.
-  std::size_t HolderIndex() const
+  /// \return index of the reporting gateway; the number of gateways if none
+  /// reports.
+  std::size_t ReporterIndex() const
   {
     for (std::size_t i = 0; i < this->gateways.size(); ++i) {
       if (this->gateways[i] != nullptr &&
@@ -38,7 +39,7 @@
     return this->gateways.size();
   }
 
-  /// One request at each gateway in turn.
+  /// Sends \p aCount requests, to the gateways in turn.
   void Serve(int aCount)
   {
     for (int i = 0; i < aCount; ++i) {
@@ -50,6 +51,7 @@
     }
   }
 
+  /// Total of all reports so far.
   std::uint64_t Reported() const
   {
     std::uint64_t sum = 0;
@@ -59,7 +61,7 @@
     return sum;
   }
 
-  bool IsSound() const
+  bool HasNoViolations() const
   {
     for (const std::string& violation : this->receiver->Violations()) {
       UNSCOPED_INFO(violation);
@@ -74,48 +76,50 @@
 
 } // namespace
 
-TEST_CASE("what all gateways served is reported once", "[usage]")
+TEST_CASE("requests served by all gateways are reported exactly once",
+          "[usage]")
 {
-  DutySite site(3);
-  REQUIRE(site.HolderIndex() < 3);
-  // Windows before the first holder's are left alone.
+  UsageSite site(3);
+  REQUIRE(site.ReporterIndex() < 3);
+  // Windows before the first reporting gateway took over are not reported.
   site.Until([] { return false; }, milliseconds(2200));
   site.Serve(24);
   CHECK(site.Until([&] { return site.Reported() == 24; }, seconds(8)));
-  CHECK(site.IsSound());
+  CHECK(site.HasNoViolations());
   CHECK(site.receiver->Holders().size() == 1);
 }
 
-// The holder is killed and its successor decides a window anew that was sent
-// already, or nobody reports from then on.
-TEST_CASE("a killed holder's duty goes on with the same reports", "[usage]")
+// The reporting gateway stops. Its successor must neither send a different
+// report of a window that was sent already nor leave the reporting undone.
+TEST_CASE("reporting continues consistently when the reporting gateway stops",
+          "[usage]")
 {
-  DutySite site(3);
+  UsageSite site(3);
   site.Until([] { return false; }, milliseconds(2200));
   site.Serve(12);
   REQUIRE(
     site.Until([&] { return !site.receiver->Reports().empty(); }, seconds(8)));
-  const std::size_t holder = site.HolderIndex();
-  REQUIRE(holder < 3);
+  const std::size_t reporter = site.ReporterIndex();
+  REQUIRE(reporter < 3);
   SECTION("killed")
   {
-    site.gateways[holder].reset();
+    site.gateways[reporter].reset();
   }
   SECTION("stopped as planned")
   {
-    site.gateways[holder]->BeginStop();
+    site.gateways[reporter]->BeginStop();
   }
   const std::size_t before = site.receiver->Holders().size();
   REQUIRE(site.Until([&] { return site.receiver->Holders().size() > before; },
                      seconds(8)));
-  CHECK(site.IsSound());
+  CHECK(site.HasNoViolations());
 }
 
-// The receiver answers nothing and carries calls out later, when another
-// gateway has sent the same window.
-TEST_CASE("calls that are carried out late change no report", "[usage]")
+// The receiver doesn't answer and executes calls late, when another gateway has
+// sent the same window.
+TEST_CASE("calls that are executed late change no report", "[usage]")
 {
-  DutySite site(2);
+  UsageSite site(2);
   site.Until([] { return false; }, milliseconds(2200));
   site.receiver->SetMode(GENERATE(UsageReceiver::Mode::Late,
                                   UsageReceiver::Mode::Busy,
@@ -124,13 +128,14 @@
   site.Until([] { return false; }, milliseconds(2500));
   site.receiver->SetMode(UsageReceiver::Mode::Up);
   CHECK(site.Until([&] { return site.Reported() == 10; }, seconds(8)));
-  CHECK(site.IsSound());
+  CHECK(site.HasNoViolations());
 }
 
-// The store comes back from a copy without what the holder kept there.
-TEST_CASE("a store that loses what was kept makes no second report", "[usage]")
+// The store is restored from a copy without the state of the reporting gateway.
+TEST_CASE("a store that lost the reporting state causes no second report",
+          "[usage]")
 {
-  DutySite site(3);
+  UsageSite site(3);
   site.Until([] { return false; }, milliseconds(2200));
   site.Serve(12);
   REQUIRE(site.Until([&] { return site.Reported() == 12; }, seconds(8)));
@@ -141,5 +146,5 @@
     seconds(10)));
   site.Serve(6);
   CHECK(site.Until([&] { return site.Reported() >= 18; }, seconds(8)));
-  CHECK(site.IsSound());
+  CHECK(site.HasNoViolations());
 }
--- a/test/WarmStart.cpp
+++ b/test/WarmStart.cpp
@@ -31,7 +31,7 @@
 
 } // namespace
 
-TEST_CASE("a warm state comes through as it was", "[warm]")
+TEST_CASE("a warm state is read back as it was written", "[warm]")
 {
   const WarmState state = SomeState();
   const auto read = ReadWarmState(WriteWarmState(state, kSecret), kSecret);
@@ -44,8 +44,8 @@
   CHECK(read->services[0].interactivePeak == 12.0);
 }
 
-// Something else writes where the state is kept, or a write was torn.
-TEST_CASE("a warm state that is torn or forged is refused", "[warm]")
+// The stored state was overwritten by something else, or only partly written.
+TEST_CASE("a corrupted or forged warm state is rejected", "[warm]")
 {
   const std::string bytes = WriteWarmState(SomeState(), kSecret);
   CHECK_FALSE(ReadWarmState(bytes, "another secret, also long").ok());
@@ -61,7 +61,7 @@
   }));
 }
 
-TEST_CASE("what is learned goes before what is handed on", "[warm]")
+TEST_CASE("own observations take precedence over the warm state", "[warm]")
 {
   PrefillFlow flow;
   flow.Seed({ 9000, 0.04, 2e6 });
@@ -91,10 +91,11 @@
   CHECK(servers.Count() == 7);
 }
 
-// All gateways are killed at once while the store is away, and the entries of
-// the servers lapse. The servers live, yet requests of the first seconds find
-// none: 0 of 20 are served without what the gateways knew, 20 with it.
-TEST_CASE("gateways that all start anew find the servers that live", "[warm]")
+// All gateways are killed at once, and the entries of live servers have expired
+// in an outage of the store. Of 20 requests in the first seconds, 0 are served
+// without the warm state and 20 with it.
+TEST_CASE("restarted gateways find live servers whose entries have expired",
+          "[warm]")
 {
   const auto servedAfterLoss = [](bool aWarm) {
     PlatformSite site(4);
@@ -107,7 +108,7 @@
     for (int i = 2; i <= 4; ++i) {
       site.store->Remove(fmt::format("servers/e{}", i));
     }
-    // The one entry that is back already names a server that has ended.
+    // The one remaining entry is of a server that has exited.
     site.engines[0].reset();
     Gateway& gateway = site.ReadyGateway("g3");
     site.Until([] { return false; }, milliseconds(50));
@@ -123,9 +124,9 @@
   CHECK(servedAfterLoss(true) == 20);
 }
 
-// An entry that stays missing is gone: its server gets nothing any more once
-// entries of living ones have had time to come back.
-TEST_CASE("a server that stays missing is given up", "[warm]")
+// A server of the warm state whose entry is not written again within the grace
+// period has left.
+TEST_CASE("a server whose entry stays missing is dropped", "[warm]")
 {
   PlatformSite site(2);
   site.ReadyGateway("g1");
--- a/test/support/CrashSite.h
+++ b/test/support/CrashSite.h
@@ -7,9 +7,9 @@
 
 namespace dogwoodvale::test {
 
-/// A site whose engines crash under one body. A crashed engine's connections
-/// break off, its entry lapses later, and it is back, as another incarnation,
-/// later still.
+/// A site whose engines crash when they run a request with one certain body. A
+/// crashed engine's connections break at once, its entry expires after
+/// kEntryLapses, and it restarts as another incarnation after kComesBack.
 class CrashSite : public FleetSite
 {
 public:
@@ -28,10 +28,11 @@
       this->StartEngine();
     }
     this->StartGateways(aGateways);
-    this->tend.StartRepeating(milliseconds(1));
+    this->updateTimer.StartRepeating(milliseconds(1));
   }
 
-  /// Crashes all engines, or the first \p aCount, with what they run.
+  /// Crashes the first \p aCount engines, or all if there are fewer, with the
+  /// requests that they run.
   void CrashEngines(std::size_t aCount)
   {
     for (std::size_t i = 0; i < aCount && i < this->running.size(); ++i) {
@@ -39,10 +40,10 @@
     }
   }
 
-  /// Engines that start from now on run the crashing body like any other.
-  void Cure() { this->isCured = true; }
+  /// Engines that start from now on complete the crashing body like any other.
+  void FixEngines() { this->isFixed = true; }
 
-  /// All engines say that they leave; they go on until they are crashed.
+  /// All engines announce their departure; they run until they are crashed.
   void DrainEngines()
   {
     for (const Running& one : this->running) {
@@ -50,7 +51,7 @@
     }
   }
 
-  /// Gives each engine that runs now a fault, see SealedEngine::SetFault().
+  /// Injects a fault into each running engine, see SealedEngine::SetFault().
   void SetFault(const Json::Value& aFault)
   {
     for (const Running& one : this->running) {
@@ -58,14 +59,14 @@
     }
   }
 
-  /// Runs of the crashing body.
+  /// Number of times that an engine began to run the crashing body.
   std::size_t CrashingRuns() const
   {
     return static_cast<std::size_t>(
       std::ranges::count(this->Runs(), kCrashBody, &standins::SealedRun::body));
   }
 
-  /// Runs of engines that are gone and of those that are there, by their begin.
+  /// Runs of crashed and of running engines, by the time of their start.
   std::vector<standins::SealedRun> Runs() const
   {
     std::vector<standins::SealedRun> all = this->pastRuns;
@@ -77,6 +78,7 @@
     return all;
   }
 
+  /// When each engine crashed.
   std::vector<TimePoint> crashes;
 
 private:
@@ -86,7 +88,7 @@
     std::unique_ptr<standins::SealedEngine> engine;
     bool crashed = false;
   };
-  struct Gone
+  struct Crashed
   {
     std::string name;
     TimePoint at{};
@@ -99,14 +101,15 @@
     made.name = fmt::format("e{}", ++this->started);
     standins::SealedEngineSettings settings = this->engineSettings;
     settings.instance = made.name;
-    settings.crashBody = this->isCured ? "" : kCrashBody;
+    settings.crashBody = this->isFixed ? "" : kCrashBody;
     made.engine = *standins::SealedEngine::Create(
       *this->loop, { "127.0.0.1", 0 }, settings);
     this->Register(made.name, *made.engine, "ready");
     this->running.push_back(std::move(made));
   }
 
-  void Tend()
+  /// Detects crashes, removes expired entries and restarts engines.
+  void Update()
   {
     const TimePoint now = Now();
     for (Running& one : this->running) {
@@ -115,34 +118,34 @@
         const auto& runs = one.engine->Runs();
         this->pastRuns.insert(this->pastRuns.end(), runs.begin(), runs.end());
         this->crashes.push_back(now);
-        this->gone.push_back({ one.name, now });
+        this->crashed.push_back({ one.name, now });
       }
     }
     std::erase_if(this->running,
                   [](const Running& aOne) { return aOne.crashed; });
-    for (Gone& one : this->gone) {
+    for (Crashed& one : this->crashed) {
       if (one.isListed && Between(one.at, now) >= kEntryLapses) {
         one.isListed = false;
         this->store->Remove("servers/" + one.name);
       }
     }
-    const auto isBack = [&](const Gone& aOne) {
+    const auto isRestarting = [&](const Crashed& aOne) {
       return Between(aOne.at, now) >= kComesBack;
     };
-    const auto back = std::ranges::count_if(this->gone, isBack);
-    std::erase_if(this->gone, isBack);
-    for (auto i = back; i > 0; --i) {
+    const auto restarting = std::ranges::count_if(this->crashed, isRestarting);
+    std::erase_if(this->crashed, isRestarting);
+    for (auto i = restarting; i > 0; --i) {
       this->StartEngine();
     }
   }
 
   standins::SealedEngineSettings engineSettings;
-  bool isCured = false;
+  bool isFixed = false;
   std::vector<Running> running;
-  std::vector<Gone> gone;
+  std::vector<Crashed> crashed;
   std::vector<standins::SealedRun> pastRuns;
   int started = 0;
-  Timer tend{ *this->loop, [this] { this->Tend(); } };
+  Timer updateTimer{ *this->loop, [this] { this->Update(); } };
 };
 
 } // namespace dogwoodvale::test
--- a/test/support/FleetSite.h
+++ b/test/support/FleetSite.h
@@ -8,8 +8,8 @@
 
 namespace dogwoodvale::test {
 
-/// A site of several gateways, and callers whose tries each have a connection
-/// of their own.
+/// A site of several gateways, and callers that send each request on its own
+/// connection.
 class FleetSite : public PlatformSite
 {
 public:
@@ -18,13 +18,15 @@
   {
   }
 
-  /// Starts so many and waits until each is ready and hears all of them.
+  /// Starts \p aCount gateways and waits until each is ready and receives the
+  /// digests of all others.
   void StartGateways(int aCount)
   {
     for (int i = 0; i < aCount; ++i) {
       this->AddGateway(fmt::format("g{}", ++this->startedGateways));
     }
-    // Gateways that have just started read of each other after two seconds.
+    // Gateways that have just started learn of each other after up to two
+    // seconds.
     const std::string all =
       fmt::format("{{reason=\"peers\"}} {}\n", this->gateways.size() - 1);
     this->Until([&] {
@@ -35,7 +37,7 @@
     });
   }
 
-  /// One caller's try, on a connection of its own.
+  /// One request of a caller, on its own connection.
   struct Try
   {
     std::string id;
@@ -48,7 +50,7 @@
              this->socket.received.ends_with("0\r\n\r\n");
     }
     bool IsRefused() { return this->socket.Has("HTTP/1.1 503"); }
-    /// Seconds; 0 where the answer names none.
+    /// In seconds; 0 if the answer has none.
     double RetryAfter() const
     {
       constexpr std::string_view kField = "Retry-After: ";
@@ -84,7 +86,7 @@
     this->loop->RunUntil([] { return false; }, aTime);
   }
 
-  /// Waits until each try has its answer.
+  /// Waits until all requests are answered.
   bool Settle()
   {
     return this->Until([&] {
@@ -93,8 +95,8 @@
     });
   }
 
-  /// Sends one try each \p aStep, at each gateway in turn, and waits for all
-  /// answers.
+  /// Sends a request every \p aStep for \p aTime, to the gateways in turn, and
+  /// waits for all answers.
   void Play(Duration aTime, Duration aStep = milliseconds(10))
   {
     const auto steps = aTime / aStep;
@@ -107,6 +109,8 @@
     this->Settle();
   }
 
+  /// Number of requests that arrived at the engine from \p aFrom to before
+  /// \p aUntil.
   static std::size_t ArrivedBetween(const standins::SealedEngine& aEngine,
                                     TimePoint aFrom,
                                     TimePoint aUntil)
@@ -117,7 +121,8 @@
       }));
   }
 
-  /// The gateway that a try was sent to.
+  /// Index of the gateway that a request was sent to; the number of gateways if
+  /// the id is unknown.
   std::size_t GatewayOf(const std::string& aId) const
   {
     const auto found = std::ranges::find(this->sent, aId, &Try::id);
--- a/test/support/NarrowLink.h
+++ b/test/support/NarrowLink.h
@@ -14,8 +14,8 @@
 
 namespace dogwoodvale::test {
 
-/// Relays TCP connections to one address and bounds what comes back over all of
-/// them together.
+/// TCP relay to one address that limits the rate of the answers, over all
+/// connections together.
 class NarrowLink
 {
 public:
@@ -56,7 +56,7 @@
     return { "127.0.0.1", ntohs(own.sin_port) };
   }
 
-  /// Resets all connections; new ones are relayed.
+  /// Resets (RST) all connections; new ones are relayed.
   void Reset()
   {
     for (const auto& relay : this->relays) {
@@ -64,7 +64,7 @@
     }
     this->relays.clear();
   }
-  /// While set, nothing comes back and no connection ends.
+  /// While set, no answer is relayed and no connection is closed.
   void SetSilent(bool aSilent)
   {
     this->silent = aSilent;
@@ -72,7 +72,7 @@
       relay->SetSilent(aSilent);
     }
   }
-  /// Bytes that came back so far.
+  /// Bytes of answers relayed so far.
   std::size_t Relayed() const { return this->relayed; }
 
 private:
@@ -90,7 +90,7 @@
     void operator()(bufferevent* aOne) const { bufferevent_free(aOne); }
   };
 
-  /// One connection and its continuation to the target.
+  /// A client connection (near) and its connection to the target (far).
   class Relay
   {
   public:
@@ -121,6 +121,7 @@
         bufferevent_enable(this->far.get(), EV_READ);
       }
     }
+    /// Makes the near connection close by a reset.
     void SetAbrupt()
     {
       const linger now{ 1, 0 };
@@ -155,7 +156,7 @@
         self->End();
         return;
       }
-      // What came before the end is passed on first.
+      // Data received before the end is flushed first.
       bufferevent_disable(aSide, EV_READ | EV_WRITE);
       bufferevent_setcb(other, nullptr, &Relay::OnDrained, OnEvent, self);
     }
