--- a/dogwoodvale/src/Backpressure/BackpressureNotice.h
+++ b/dogwoodvale/src/Backpressure/BackpressureNotice.h
@@ -7,18 +7,18 @@
 
 namespace dogwoodvale {
 
-/// What the head of one answer states of its server's needs.
+/// Backpressure signalled in the headers of one backend response.
 struct BackpressureNotice
 {
-  /// Requests a second that the server takes from all gateways together; not
-  /// negative. An answer without it says that there is no such bound.
+  /// Requests per second that the server accepts from all gateways together;
+  /// not negative. A response without it means that there is no such limit.
   std::optional<double> rateLimit;
-  /// The server takes no new work and ends soon.
+  /// The server accepts no new requests and will shut down soon.
   bool isLeaving = false;
-  /// The server turned the request away and wants nothing from this gateway for
-  /// so long.
+  /// The server rejected the request and wants this gateway to send no more
+  /// requests for this long.
   std::optional<Duration> restFor;
-  /// A field was there and could not be read; it is ignored.
+  /// A field was present but could not be parsed; it is ignored.
   bool isMalformed = false;
 };
 
--- a/dogwoodvale/src/Backpressure/LeavingServers.cpp
+++ b/dogwoodvale/src/Backpressure/LeavingServers.cpp
@@ -22,40 +22,41 @@
 
 bool
 LeavingServers::Add(const InstanceName& aServer,
-                    TimePoint aSaidAt,
+                    TimePoint aAnnouncedAt,
                     TimePoint aNow)
 {
-  if (this->saidAt.contains(aServer)) {
+  if (this->announcedAt.contains(aServer)) {
     return false;
   }
-  std::erase_if(this->saidAt, [&](const auto& aItem) {
+  std::erase_if(this->announcedAt, [&](const auto& aItem) {
     return Between(aItem.second, aNow) >= kMemory;
   });
-  if (this->saidAt.size() >= kMost) {
-    this->saidAt.erase(std::ranges::min_element(
-      this->saidAt, {}, [](const auto& aItem) { return aItem.second; }));
+  if (this->announcedAt.size() >= kMost) {
+    this->announcedAt.erase(std::ranges::min_element(
+      this->announcedAt, {}, [](const auto& aItem) { return aItem.second; }));
   }
-  this->saidAt[aServer] = aSaidAt;
+  this->announcedAt[aServer] = aAnnouncedAt;
   return true;
 }
 
 std::vector<LeavingNews>
 LeavingServers::Tell(TimePoint aNow) const
 {
-  std::vector<LeavingNews> news;
-  for (const auto& [server, at] : this->saidAt) {
+  std::vector<LeavingNews> updates;
+  for (const auto& [server, at] : this->announcedAt) {
     const Duration age = Between(at, aNow);
-    if (age < kTell && news.size() < kMostNews) {
-      news.push_back({ server, std::chrono::duration_cast<milliseconds>(age) });
+    if (age < kTell && updates.size() < kMostNews) {
+      updates.push_back(
+        { server, std::chrono::duration_cast<milliseconds>(age) });
     }
   }
-  return news;
+  return updates;
 }
 
 bool
 LeavingServers::Contains(const InstanceName& aServer) const
 {
-  return this->saidAt.contains(aServer);
+  return this->announcedAt.contains(aServer);
 }
 
 } // namespace dogwoodvale
--- a/dogwoodvale/src/Backpressure/LeavingServers.h
+++ b/dogwoodvale/src/Backpressure/LeavingServers.h
@@ -8,43 +8,54 @@
 
 namespace dogwoodvale {
 
-/// What a gateway tells others of a server that leaves.
+/// Sent to other gateways about a server that is shutting down.
 struct LeavingNews
 {
   InstanceName server;
-  /// Since the first gateway had the server's word.
+  /// Time since the first gateway got the server's announcement.
   milliseconds age{ 0 };
 
   bool operator==(const LeavingNews&) const = default;
 };
 
-/// Servers that have said in an answer that they leave, here or at another
-/// gateway.
+/// Servers that have announced in a response, to this or another gateway, that
+/// they are shutting down.
 ///
-/// A server that leaves does not come back: another start of it is another
-/// incarnation. So the word outlives the server's entry here, and no list that
-/// is older, of the store or of another gateway, takes it back.
+/// A leaving server does not return: if it is started again, that is another
+/// incarnation. The announcement is therefore kept after the server is removed
+/// from this gateway's list, and an older server list, from the store or
+/// another gateway, does not revoke it.
 class LeavingServers
 {
 public:
-  /// \return whether that is new.
+  /// A response announced that the server is leaving.
+  /// \return whether this was not known yet.
   bool OnAnswer(const InstanceName& aServer, TimePoint aNow);
+  /// Handles an announcement from another gateway, unless older than kTell.
+  /// \return whether this was not known yet.
   bool Hear(const LeavingNews& aNews, TimePoint aNow);
+  /// The announcements to send to other gateways: those younger than kTell, at
+  /// most kMaxUpdates.
   std::vector<LeavingNews> Tell(TimePoint aNow) const;
   bool Contains(const InstanceName& aServer) const;
 
-  /// An older copy of a list may name a server again for so long.
+  /// How long a leaving server is remembered. An older copy of a server list
+  /// may name it again during this time.
   static constexpr Duration kMemory = std::chrono::minutes(10);
-  /// How long others are told; a gateway that starts meanwhile hears of it.
+  /// How long the announcement is sent to other gateways, so that one that
+  /// starts in the meantime gets it too.
   static constexpr Duration kTell = seconds(60);
-  /// Most that are remembered; the earliest are forgotten first.
+  /// Maximum number of servers remembered; the oldest announcement is evicted
+  /// first.
   static constexpr std::size_t kMost = 4096;
+  /// Maximum number of updates returned by OutgoingUpdates().
   static constexpr std::size_t kMostNews = 512;
 
 private:
-  bool Add(const InstanceName& aServer, TimePoint aSaidAt, TimePoint aNow);
+  bool Add(const InstanceName& aServer, TimePoint aAnnouncedAt, TimePoint aNow);
 
-  std::map<InstanceName, TimePoint> saidAt;
+  /// Time of the first announcement by server.
+  std::map<InstanceName, TimePoint> announcedAt;
 };
 
 } // namespace dogwoodvale
--- a/dogwoodvale/src/Backpressure/RankReserve.cpp
+++ b/dogwoodvale/src/Backpressure/RankReserve.cpp
@@ -6,31 +6,31 @@
 
 namespace {
 
-/// A rank that has not asked for so long is left out.
-constexpr Duration kAskedLately = seconds(5);
-/// Part of what may be saved up that the last rank leaves to the others.
-constexpr double kReserved = 0.5;
-constexpr std::uint32_t kMostPassedBy = 10;
-/// A rank that does not ask for so long loses its turn.
-constexpr Duration kTurnLasts = seconds(1);
+/// A rank without requests for this long is not taken into account.
+constexpr Duration kActivePeriod = seconds(5);
+/// Share of the burst size that the last rank must leave to the others.
+constexpr double kMaxReservedShare = 0.5;
+constexpr std::uint32_t kMaxSkipped = 10;
+/// A rank without requests for this long loses its turn.
+constexpr Duration kTurnTimeout = seconds(1);
 
 } // namespace
 
 bool
 RankReserve::Rank::HasTurn(TimePoint aNow) const
 {
-  return this->passedBy >= kMostPassedBy &&
-         Between(this->askedAt, aNow) <= kTurnLasts;
+  return this->skippedCount >= kMaxSkipped &&
+         Between(this->requestedAt, aNow) <= kTurnTimeout;
 }
 
 double
-RankReserve::PartOfEarlier(std::size_t aOwn, TimePoint aNow) const
+RankReserve::ShareOfEarlierRanks(std::size_t aOwn, TimePoint aNow) const
 {
   std::size_t earlier = 0;
   std::size_t all = 0;
   for (std::size_t rank = 0; rank < kRanks; ++rank) {
-    const TimePoint asked = this->ranks[rank].askedAt;
-    if (asked != TimePoint{} && Between(asked, aNow) <= kAskedLately) {
+    const TimePoint requested = this->ranks[rank].requestedAt;
+    if (requested != TimePoint{} && Between(requested, aNow) <= kActivePeriod) {
       earlier += rank < aOwn ? 1 : 0;
       ++all;
     }
@@ -42,24 +42,24 @@
 bool
 RankReserve::Admits(std::uint32_t aRank,
                     double aFree,
-                    double aMost,
+                    double aBurst,
                     TimePoint aNow)
 {
   const std::size_t own = std::min<std::size_t>(aRank, kRanks - 1);
-  this->ranks[own].askedAt = aNow;
+  this->ranks[own].requestedAt = aNow;
   double needed = 1;
   if (!this->ranks[own].HasTurn(aNow)) {
+    needed += kMaxReservedShare * this->ShareOfEarlierRanks(own, aNow) *
+              std::max(aBurst - 1, 0.0);
+    // Leaves one request for the rank that has the turn.
     needed +=
-      kReserved * this->PartOfEarlier(own, aNow) * std::max(aMost - 1, 0.0);
-    // Whoever has the turn finds one when it asks next.
-    needed +=
-      std::ranges::any_of(this->ranks,
-                          [&](const Rank& aOne) { return aOne.HasTurn(aNow); })
+      std::ranges::any_of(
+        this->ranks, [&](const Rank& aOther) { return aOther.HasTurn(aNow); })
         ? 1
         : 0;
   }
   const bool isAdmitted = aFree >= needed;
-  this->ranks[own].isWaiting = this->ranks[own].isWaiting || !isAdmitted;
+  this->ranks[own].wasRefused = this->ranks[own].wasRefused || !isAdmitted;
   return isAdmitted;
 }
 
@@ -68,11 +68,11 @@
 {
   const std::size_t own = std::min<std::size_t>(aRank, kRanks - 1);
   for (std::size_t rank = 0; rank < kRanks; ++rank) {
-    Rank& one = this->ranks[rank];
-    one.passedBy += rank != own && one.isWaiting ? 1 : 0;
+    Rank& current = this->ranks[rank];
+    current.skippedCount += rank != own && current.wasRefused ? 1 : 0;
   }
-  this->ranks[own].passedBy = 0;
-  this->ranks[own].isWaiting = false;
+  this->ranks[own].skippedCount = 0;
+  this->ranks[own].wasRefused = false;
 }
 
 } // namespace dogwoodvale
--- a/dogwoodvale/src/Backpressure/RateHolders.cpp
+++ b/dogwoodvale/src/Backpressure/RateHolders.cpp
@@ -9,12 +9,12 @@
 
 namespace {
 
-/// Part of a server's rate that is divided.
-constexpr double kUsedShare = 0.95;
+/// Share of a server's rate that is divided among the holders.
+constexpr double kSafetyFactor = 0.95;
 
-/// Requests that all holders together may have saved up.
+/// Requests that all holders together may save up.
 double
-SavedUp(double aPerSecond)
+TotalBurst(double aPerSecond)
 {
   return aPerSecond + RateHolders::kSavedBeside;
 }
@@ -32,61 +32,63 @@
 {
   std::vector<InstanceName> names(aNames.begin(), aNames.end());
   std::ranges::sort(names);
-  if (!this->fleets.empty() && this->fleets.back().gateways == names) {
+  if (!this->memberships.empty() &&
+      this->memberships.back().gateways == names) {
     return;
   }
-  if (this->fleets.empty()) {
+  if (this->memberships.empty()) {
     this->Distrust(aNow);
   } else {
-    this->fleets.back().until = aNow;
+    this->memberships.back().replacedAt = aNow;
   }
-  this->fleets.push_back({ std::move(names), {} });
+  this->memberships.push_back({ std::move(names), {} });
   ++this->version;
 }
 
 void
 RateHolders::Distrust(TimePoint aNow)
 {
-  this->isTrusted = false;
-  this->trustedFrom = aNow + this->settle;
+  this->isActive = false;
+  this->suspendedUntil = aNow + this->settle;
   ++this->version;
 }
 
 std::uint64_t
 RateHolders::Version(TimePoint aNow)
 {
-  if (!this->isTrusted && aNow >= this->trustedFrom) {
-    this->isTrusted = true;
+  if (!this->isActive && aNow >= this->suspendedUntil) {
+    this->isActive = true;
     ++this->version;
   }
-  const auto forgotten = std::erase_if(this->fleets, [&](const Fleet& aFleet) {
-    return aFleet.until != TimePoint{} &&
-           Between(aFleet.until, aNow) >= this->settle;
-  });
-  this->version += forgotten;
+  const auto expired =
+    std::erase_if(this->memberships, [&](const Membership& aMembership) {
+      return aMembership.replacedAt != TimePoint{} &&
+             Between(aMembership.replacedAt, aNow) >= this->settle;
+    });
+  this->version += expired;
   return this->version;
 }
 
 std::size_t
 RateHolders::HolderCount(double aPerSecond, std::size_t aGateways)
 {
-  const double most =
-    std::min(SavedUp(aPerSecond), static_cast<double>(aGateways));
-  return static_cast<std::size_t>(most);
+  const double maxHolders =
+    std::min(TotalBurst(aPerSecond), static_cast<double>(aGateways));
+  return static_cast<std::size_t>(maxHolders);
 }
 
 std::vector<InstanceName>
-RateHolders::GatewaysOf(const Fleet& aFleet,
-                        const InstanceName& aServer,
-                        std::size_t aCells) const
+RateHolders::EligibleGateways(const Membership& aMembership,
+                              const InstanceName& aServer,
+                              std::size_t aCells) const
 {
   if (aCells <= 1) {
-    return aFleet.gateways;
+    return aMembership.gateways;
   }
   std::vector<InstanceName> inCell;
   const std::size_t cell = CellOf(aServer, aCells);
   std::ranges::copy_if(
-    aFleet.gateways, std::back_inserter(inCell), [&](const auto& aName) {
+    aMembership.gateways, std::back_inserter(inCell), [&](const auto& aName) {
       return CellOf(aName, aCells) == cell;
     });
   return inCell;
@@ -97,21 +99,22 @@
                      double aPerSecond,
                      std::size_t aCells) const
 {
-  if (!this->isTrusted) {
+  if (!this->isActive) {
     return {};
   }
-  std::size_t most = 0;
-  for (const Fleet& fleet : this->fleets) {
-    const auto gateways = this->GatewaysOf(fleet, aServer, aCells);
+  std::size_t maxHolders = 0;
+  for (const Membership& membership : this->memberships) {
+    const auto gateways = this->EligibleGateways(membership, aServer, aCells);
     const std::size_t count = HolderCount(aPerSecond, gateways.size());
     const auto holders = ChooseSubset(aServer, gateways, count);
     if (std::ranges::find(holders, this->self) == holders.end()) {
       return {};
     }
-    most = std::max(most, count);
+    maxHolders = std::max(maxHolders, count);
   }
-  const auto holders = static_cast<double>(most);
-  return { kUsedShare * aPerSecond / holders, SavedUp(aPerSecond) / holders };
+  const auto holders = static_cast<double>(maxHolders);
+  return { kSafetyFactor * aPerSecond / holders,
+           TotalBurst(aPerSecond) / holders };
 }
 
 } // namespace dogwoodvale
--- a/dogwoodvale/src/Backpressure/RateHolders.h
+++ b/dogwoodvale/src/Backpressure/RateHolders.h
@@ -9,73 +9,82 @@
 
 namespace dogwoodvale {
 
-/// One gateway's part of a server's rate.
+/// One gateway's share of a server's rate limit.
 struct RateShare
 {
-  /// Requests a second; 0 for a gateway that holds no part.
+  /// Requests per second; 0 for a gateway without a share.
   double perSecond = 0;
-  /// Requests that may follow each other at once.
+  /// Token bucket size in requests.
   double burst = 0;
 
   bool operator==(const RateShare&) const = default;
 };
 
-/// Divides the rates of servers among gateways without a word between them:
-/// each part belongs to a gateway by rendezvous hashing.
+/// Divides the rate limits of servers among the gateways without communication:
+/// the gateways that hold a share of a server's rate are chosen by rendezvous
+/// hashing.
 ///
-/// Every gateway must be able to save up one whole request, or small parts are
-/// never used; so the number that save up at once is bounded by the rate, not
-/// by the size of the fleet. Over all holders, a server gets in any time T at
-/// most T x rate + rate + 4 requests.
+/// A holder must be able to save up one whole request, since a smaller share
+/// could never be used. The number of holders is therefore bounded by the rate,
+/// not by the size of the fleet. All holders together send a server at most
+/// T * rate + rate + kSavedBeside requests in any T seconds.
 ///
-/// Gateways hear of a change of the fleet at different moments. A gateway gives
-/// up a part as soon as it hears, and takes one only when all others have had
-/// the time to hear, so that no part is held twice.
+/// Gateways learn of a membership change at different times. A gateway gives up
+/// a share as soon as it learns of the change, and takes one only after the
+/// settle time, when all others have learnt of it, so that no share is held
+/// twice.
 class RateHolders
 {
 public:
-  /// \param aSettle time within which all gateways hear of a change of the
-  /// fleet.
+  /// \param aSettle time within which all gateways learn of a change of
+  /// membership.
   RateHolders(InstanceName aSelf, Duration aSettle);
 
-  /// The gateways of the site, this one among them.
+  /// Sets the gateways of the site, including this one.
   void SetGateways(std::span<const InstanceName> aNames, TimePoint aNow);
-  /// What is known of the fleet may be old, e.g. after a suspension: holds
-  /// nothing until the others have had the time to be heard.
+  /// The known membership may be out of date, e.g. after the process was
+  /// suspended: this gateway holds no shares until the settle time has passed.
   void Distrust(TimePoint aNow);
 
-  /// Changes whenever a share may have changed.
+  /// A number that changes whenever a share may have changed. Must be called
+  /// before ShareOf() for shares to follow the time.
   std::uint64_t Version(TimePoint aNow);
-  /// \param aCells 1 for a server that gateways of all cells use, see CellOf().
+  /// This gateway's share of the server's rate; zero if it holds none.
+  /// \param aPerSecond the server's rate in requests per second.
+  /// \param aCells number of cells that the server's service is divided into; 1
+  /// if gateways of all cells use the server, see CellOf().
   RateShare ShareOf(const InstanceName& aServer,
                     double aPerSecond,
                     std::size_t aCells) const;
 
-  /// What may be saved up beside the requests of one second.
+  /// Requests that all holders together may save up, in addition to those of
+  /// one second.
   static constexpr double kSavedBeside = 4;
 
-  /// How many of so many gateways hold a part of such a rate.
+  /// Number of gateways, out of \p aGateways, that hold a share of a rate of
+  /// \p aPerSecond requests per second.
   static std::size_t HolderCount(double aPerSecond, std::size_t aGateways);
 
 private:
-  struct Fleet
+  struct Membership
   {
     std::vector<InstanceName> gateways;
-    /// When it was replaced; not set for the newest.
-    TimePoint until{};
+    /// When it was replaced; TimePoint{} for the current one.
+    TimePoint replacedAt{};
   };
 
-  std::vector<InstanceName> GatewaysOf(const Fleet& aFleet,
-                                       const InstanceName& aServer,
-                                       std::size_t aCells) const;
+  /// The gateways that may use the server: those of its cell, or all.
+  std::vector<InstanceName> EligibleGateways(const Membership& aMembership,
+                                             const InstanceName& aServer,
+                                             std::size_t aCells) const;
 
   InstanceName self;
   Duration settle;
-  /// The newest last, before it those that were replaced within the last
+  /// The current membership last, preceded by those replaced within the last
   /// settle time.
-  std::vector<Fleet> fleets;
-  TimePoint trustedFrom = TimePoint::max();
-  bool isTrusted = false;
+  std::vector<Membership> memberships;
+  TimePoint suspendedUntil = TimePoint::max();
+  bool isActive = false;
   std::uint64_t version = 0;
 };
 
--- a/dogwoodvale/src/Backpressure/ServerRates.cpp
+++ b/dogwoodvale/src/Backpressure/ServerRates.cpp
@@ -7,19 +7,19 @@
 
 namespace {
 
-/// How far the age of one word may seem to differ at two gateways.
-constexpr Duration kAgeError = milliseconds(500);
-constexpr milliseconds kMostAge = std::chrono::hours(1);
+/// Tolerance when the ages of one update at two gateways are compared.
+constexpr Duration kAgeTolerance = milliseconds(500);
+constexpr milliseconds kMaxAge = std::chrono::hours(1);
 
 std::optional<double>
-Bounded(std::optional<double> aPerSecond)
+ClampRate(std::optional<double> aPerSecond)
 {
   if (!aPerSecond) {
     return std::nullopt;
   }
-  // In this order what is no number comes to the least.
-  return std::min(std::max(ServerRates::kLeastRate, *aPerSecond),
-                  ServerRates::kMostRate);
+  // The order of the arguments makes NaN come out as kMinRate.
+  return std::min(std::max(ServerRates::kMinRate, *aPerSecond),
+                  ServerRates::kMaxRate);
 }
 
 } // namespace
@@ -30,20 +30,20 @@
 }
 
 RateChange
-ServerRates::Take(Entry& aEntry,
-                  std::optional<double> aPerSecond,
-                  TimePoint aHeardAt,
-                  TimePoint aNow) const
+ServerRates::SetRate(Entry& aEntry,
+                     std::optional<double> aPerSecond,
+                     TimePoint aAnsweredAt,
+                     TimePoint aNow) const
 {
   RateChange change;
   change.before = std::exchange(aEntry.perSecond, aPerSecond);
   change.lasted = aEntry.changedAt == TimePoint{}
                     ? Duration::zero()
                     : Between(aEntry.changedAt, aNow);
-  aEntry.heardAt = aHeardAt;
+  aEntry.answeredAt = aAnsweredAt;
   aEntry.changedAt = aNow;
-  aEntry.tellUntil = aNow + kTellEnded;
-  // The share is worked out anew at the next use.
+  aEntry.announceUntil = aNow + kAnnounceEndedFor;
+  // Makes FindLimited() recompute the share.
   aEntry.cells = 0;
   return change;
 }
@@ -53,75 +53,78 @@
                       std::optional<double> aPerSecond,
                       TimePoint aNow)
 {
-  const std::optional<double> rate = Bounded(aPerSecond);
+  const std::optional<double> rate = ClampRate(aPerSecond);
   const auto found = this->entries.find(aServer);
   if (found == this->entries.end()) {
     if (!rate) {
       return std::nullopt;
     }
-    return this->Take(this->entries[aServer], rate, aNow, aNow);
+    return this->SetRate(this->entries[aServer], rate, aNow, aNow);
   }
   Entry& entry = found->second;
   if (entry.perSecond == rate) {
-    entry.heardAt = aNow;
+    entry.answeredAt = aNow;
     return std::nullopt;
   }
-  return this->Take(entry, rate, aNow, aNow);
+  return this->SetRate(entry, rate, aNow, aNow);
 }
 
 std::optional<RateChange>
 ServerRates::Hear(const RateNews& aNews, TimePoint aNow)
 {
-  const std::optional<double> rate = Bounded(aNews.perSecond);
-  const TimePoint heardAt =
-    aNow - std::clamp(aNews.age, milliseconds(0), kMostAge);
+  const std::optional<double> rate = ClampRate(aNews.perSecond);
+  const TimePoint answeredAt =
+    aNow - std::clamp(aNews.age, milliseconds(0), kMaxAge);
   const auto found = this->entries.find(aNews.server);
   if (found == this->entries.end()) {
     if (!rate) {
       return std::nullopt;
     }
-    return this->Take(this->entries[aNews.server], rate, heardAt, aNow);
+    return this->SetRate(this->entries[aNews.server], rate, answeredAt, aNow);
   }
   Entry& entry = found->second;
   if (entry.perSecond == rate) {
-    // A word that went round would seem a little newer each time.
-    if (Between(entry.heardAt, heardAt) > kAgeError) {
-      entry.heardAt = heardAt;
+    // Without the tolerance, an update passed around among the gateways would
+    // appear a little newer each time.
+    if (Between(entry.answeredAt, answeredAt) > kAgeTolerance) {
+      entry.answeredAt = answeredAt;
     }
     return std::nullopt;
   }
-  if (heardAt > entry.heardAt) {
-    return this->Take(entry, rate, heardAt, aNow);
+  if (answeredAt > entry.answeredAt) {
+    return this->SetRate(entry, rate, answeredAt, aNow);
   }
-  // Somebody has missed the word that this gateway has.
-  entry.tellUntil = aNow + kTellEnded;
+  // The sender has missed the newer update that this gateway has.
+  entry.announceUntil = aNow + kAnnounceEndedFor;
   return std::nullopt;
 }
 
 std::vector<RateNews>
 ServerRates::Tell(TimePoint aNow) const
 {
-  std::vector<std::pair<TimePoint, RateNews>> dated;
+  std::vector<std::pair<TimePoint, RateNews>> candidates;
   for (const auto& [server, entry] : this->entries) {
-    if (entry.perSecond || aNow < entry.tellUntil) {
-      const auto age =
-        std::chrono::duration_cast<milliseconds>(Between(entry.heardAt, aNow));
-      dated.push_back({ entry.changedAt, { server, entry.perSecond, age } });
+    if (entry.perSecond || aNow < entry.announceUntil) {
+      const auto age = std::chrono::duration_cast<milliseconds>(
+        Between(entry.answeredAt, aNow));
+      candidates.push_back(
+        { entry.changedAt, { server, entry.perSecond, age } });
     }
   }
-  if (dated.size() > kMostNews) {
-    std::ranges::partial_sort(dated,
-                              dated.begin() + kMostNews,
-                              std::greater{},
-                              [](const auto& aOne) { return aOne.first; });
-    dated.resize(kMostNews);
+  if (candidates.size() > kMaxUpdates) {
+    std::ranges::partial_sort(
+      candidates,
+      candidates.begin() + kMaxUpdates,
+      std::greater{},
+      [](const auto& aCandidate) { return aCandidate.first; });
+    candidates.resize(kMaxUpdates);
   }
-  std::vector<RateNews> news;
-  news.reserve(dated.size());
-  for (auto& [changedAt, one] : dated) {
-    news.push_back(std::move(one));
+  std::vector<RateNews> updates;
+  updates.reserve(candidates.size());
+  for (auto& [changedAt, update] : candidates) {
+    updates.push_back(std::move(update));
   }
-  return news;
+  return updates;
 }
 
 void
@@ -147,9 +150,9 @@
 }
 
 ServerRates::Entry*
-ServerRates::Limited(const InstanceName& aServer,
-                     std::size_t aCells,
-                     TimePoint aNow)
+ServerRates::FindLimited(const InstanceName& aServer,
+                         std::size_t aCells,
+                         TimePoint aNow)
 {
   const auto found = this->entries.find(aServer);
   if (found == this->entries.end() || !found->second.perSecond) {
@@ -165,11 +168,12 @@
   const RateShare share =
     this->holders.ShareOf(aServer, *entry.perSecond, aCells);
   if (share != entry.share) {
-    // Starts with what it had saved, at first with nothing: what was sent
-    // before the server named its rate is still on its way.
+    // Keeps the saved tokens, up to the new burst size. A new bucket starts
+    // empty, since requests sent before the server stated its limit are still
+    // in flight.
     const double saved = std::min(entry.bucket.Available(aNow), share.burst);
     entry.bucket = TokenBucket(share.perSecond, share.burst, saved);
-    // From now on it refills.
+    // The first call starts the refill.
     entry.bucket.Available(aNow);
     entry.share = share;
   }
@@ -181,7 +185,7 @@
                      std::size_t aCells,
                      TimePoint aNow)
 {
-  Entry* entry = this->Limited(aServer, aCells, aNow);
+  Entry* entry = this->FindLimited(aServer, aCells, aNow);
   return entry == nullptr || entry->bucket.Available(aNow) >= 1.0;
 }
 
@@ -190,7 +194,7 @@
                     std::size_t aCells,
                     TimePoint aNow)
 {
-  if (Entry* entry = this->Limited(aServer, aCells, aNow)) {
+  if (Entry* entry = this->FindLimited(aServer, aCells, aNow)) {
     entry->bucket.TryTake(1.0, aNow);
   }
 }
@@ -200,7 +204,7 @@
                     std::size_t aCells,
                     TimePoint aNow)
 {
-  Entry* entry = this->Limited(aServer, aCells, aNow);
+  Entry* entry = this->FindLimited(aServer, aCells, aNow);
   return entry == nullptr
            ? Room{}
            : Room{ entry->bucket.Available(aNow), entry->share.burst };
@@ -211,7 +215,7 @@
                        std::size_t aCells,
                        TimePoint aNow)
 {
-  Entry* entry = this->Limited(aServer, aCells, aNow);
+  Entry* entry = this->FindLimited(aServer, aCells, aNow);
   if (entry == nullptr) {
     return Duration::zero();
   }
--- a/dogwoodvale/src/Backpressure/ServerRates.h
+++ b/dogwoodvale/src/Backpressure/ServerRates.h
@@ -11,31 +11,32 @@
 
 namespace dogwoodvale {
 
-/// What a gateway tells others of the rate that a server has named.
+/// Sent to other gateways about the rate limit of a server.
 struct RateNews
 {
   InstanceName server;
-  /// Nothing where the server names no rate any more.
+  /// Requests per second; nothing if the server has no rate limit any more.
   std::optional<double> perSecond;
-  /// Since the answer came that said so.
+  /// Time since the response that said so arrived.
   milliseconds age{ 0 };
 
   bool operator==(const RateNews&) const = default;
 };
 
-/// A change of the rate that a server names.
+/// A change of a server's rate limit.
 struct RateChange
 {
+  /// The previous limit in requests per second; nothing if there was none.
   std::optional<double> before;
-  /// For how long that was so.
+  /// How long that was in force; zero if not known.
   Duration lasted{ 0 };
 };
 
-/// The rates that servers have named in their answers, and what this gateway
-/// may send under them.
+/// The rate limits that servers state in their responses, and what this gateway
+/// may send within them.
 ///
-/// A server's newest answer holds, whichever gateway got it: one that names no
-/// rate ends the bound.
+/// The newest response of a server applies, whichever gateway received it; one
+/// without a rate limit removes the limit.
 class ServerRates
 {
 public:
@@ -43,67 +44,82 @@
 
   RateHolders& Holders() { return this->holders; }
 
-  /// The head of an answer came. \return what changed, if anything.
+  /// Handles the headers of a response.
+  /// \return the change of the server's limit; nothing if it is unchanged.
   std::optional<RateChange> OnAnswer(const InstanceName& aServer,
                                      std::optional<double> aPerSecond,
                                      TimePoint aNow);
-  /// \param aNews of a server that this gateway knows.
+  /// Handles an update from another gateway.
+  /// \param aNews about a server in this gateway's list.
+  /// \return the change of the server's limit; nothing if it is unchanged.
   std::optional<RateChange> Hear(const RateNews& aNews, TimePoint aNow);
-  /// For the other gateways: what is limited, and what has lately ceased to be.
+  /// The updates to send to other gateways: the servers with a limit, and those
+  /// whose limit has changed or ended recently.
   std::vector<RateNews> Tell(TimePoint aNow) const;
+  /// Removes the server's limit.
   void Forget(const InstanceName& aServer);
 
   bool IsLimited(const InstanceName& aServer) const;
   std::size_t LimitedCount() const;
-  /// \param aCells 1 for a server that gateways of all cells use.
+  /// Whether this gateway may send the server a request now.
+  /// \param aCells see RateHolders::ShareOf().
   bool MaySend(const InstanceName& aServer, std::size_t aCells, TimePoint aNow);
-  /// Counts a request that goes to the server.
+  /// Counts a request sent to the server.
   void OnSent(const InstanceName& aServer, std::size_t aCells, TimePoint aNow);
-  /// Requests that may be sent at once, and the most that ever may; a part of
-  /// one counts.
+  /// What this gateway may send to a server with a limit, in requests; may be
+  /// fractional.
   struct Room
   {
+    /// Requests that may be sent now.
     double now = 0;
+    /// Maximum that `now` can reach.
     double most = 0;
   };
+  /// Zero for a server without a limit.
   Room RoomOf(const InstanceName& aServer, std::size_t aCells, TimePoint aNow);
-  /// Until the server takes a request again: from this gateway if it holds a
-  /// part of the rate, else from any.
+  /// Time until the server accepts another request: from this gateway if it
+  /// holds a share of the rate, else from any gateway.
   Duration UntilRoom(const InstanceName& aServer,
                      std::size_t aCells,
                      TimePoint aNow);
 
-  /// A server that names less gets a request now and then all the same, or
-  /// nobody would hear when it takes more.
-  static constexpr double kLeastRate = 0.05;
-  static constexpr double kMostRate = 1e6;
-  /// How long gateways tell that a bound has ended.
-  static constexpr Duration kTellEnded = seconds(10);
-  /// Most servers told of at once, the newest changes first.
-  static constexpr std::size_t kMostNews = 512;
+  /// Limits are clamped to this range, in requests per second. A server that
+  /// asks for less than the minimum still gets a request now and then, since
+  /// only its responses tell when it accepts more.
+  static constexpr double kMinRate = 0.05;
+  static constexpr double kMaxRate = 1e6;
+  /// How long other gateways are told that a limit has changed or ended.
+  static constexpr Duration kAnnounceEndedFor = seconds(10);
+  /// Maximum number of updates sent at once; the newest changes have priority.
+  static constexpr std::size_t kMaxUpdates = 512;
 
 private:
   struct Entry
   {
+    /// Requests per second; nothing if the limit has ended.
     std::optional<double> perSecond;
-    /// When the newest answer came that said so.
-    TimePoint heardAt{};
+    /// When the newest response that said so arrived, at any gateway.
+    TimePoint answeredAt{};
     TimePoint changedAt{};
-    TimePoint tellUntil{};
+    /// Until when the entry is sent to others even without a limit.
+    TimePoint announceUntil{};
     TokenBucket bucket{ 0, 0 };
     RateShare share;
+    /// The number of cells and the version of the shares that `share` was
+    /// computed with; 0 cells if it has to be recomputed.
     std::size_t cells = 0;
     std::uint64_t holdersVersion = 0;
   };
 
-  RateChange Take(Entry& aEntry,
-                  std::optional<double> aPerSecond,
-                  TimePoint aHeardAt,
-                  TimePoint aNow) const;
-  /// The entry with its share as it is now; null for a server without a bound.
-  Entry* Limited(const InstanceName& aServer,
-                 std::size_t aCells,
-                 TimePoint aNow);
+  RateChange SetRate(Entry& aEntry,
+                     std::optional<double> aPerSecond,
+                     TimePoint aAnsweredAt,
+                     TimePoint aNow) const;
+  /// The entry with its share brought up to date; null for a server without a
+  /// limit.
+  Entry* FindLimited(const InstanceName& aServer,
+                     std::size_t aCells,
+                     TimePoint aNow);
 
   RateHolders holders;
   std::map<InstanceName, Entry> entries;
--- a/dogwoodvale/src/Backpressure/ServerRests.cpp
+++ b/dogwoodvale/src/Backpressure/ServerRests.cpp
@@ -6,36 +6,36 @@
 
 bool
 ServerRests::OnRefused(const InstanceName& aServer,
-                       Duration aRest,
+                       Duration aBackoff,
                        TimePoint aNow)
 {
-  if (aRest <= Duration::zero()) {
+  if (aBackoff <= Duration::zero()) {
     return false;
   }
-  Rest& rest = this->rests[aServer];
-  const TimePoint endsAt = aNow + std::min(aRest, kLongest);
-  if (endsAt <= rest.endsAt) {
+  Backoff& backoff = this->backoffs[aServer];
+  const TimePoint endsAt = aNow + std::min(aBackoff, kLongest);
+  if (endsAt <= backoff.endsAt) {
     return false;
   }
-  rest.endsAt = endsAt;
-  rest.freeAt = endsAt;
+  backoff.endsAt = endsAt;
+  backoff.freeAt = endsAt;
   return true;
 }
 
 void
 ServerRests::OnAnswer(const InstanceName& aServer, TimePoint aNow)
 {
-  const auto found = this->rests.find(aServer);
-  if (found != this->rests.end() && found->second.endsAt <= aNow) {
-    this->rests.erase(found);
+  const auto found = this->backoffs.find(aServer);
+  if (found != this->backoffs.end() && found->second.endsAt <= aNow) {
+    this->backoffs.erase(found);
   }
 }
 
 void
 ServerRests::OnSent(const InstanceName& aServer, TimePoint aNow)
 {
-  const auto found = this->rests.find(aServer);
-  if (found != this->rests.end()) {
+  const auto found = this->backoffs.find(aServer);
+  if (found != this->backoffs.end()) {
     found->second.freeAt = aNow + kTrialPatience;
   }
 }
@@ -43,7 +43,7 @@
 void
 ServerRests::Forget(const InstanceName& aServer)
 {
-  this->rests.erase(aServer);
+  this->backoffs.erase(aServer);
 }
 
 bool
@@ -55,8 +55,8 @@
 Duration
 ServerRests::UntilFree(const InstanceName& aServer, TimePoint aNow) const
 {
-  const auto found = this->rests.find(aServer);
-  return found == this->rests.end()
+  const auto found = this->backoffs.find(aServer);
+  return found == this->backoffs.end()
            ? Duration::zero()
            : std::max(Between(aNow, found->second.freeAt), Duration::zero());
 }
@@ -65,7 +65,7 @@
 ServerRests::RestingCount(TimePoint aNow) const
 {
   return static_cast<std::size_t>(
-    std::ranges::count_if(this->rests, [&](const auto& aItem) {
+    std::ranges::count_if(this->backoffs, [&](const auto& aItem) {
       return aItem.second.endsAt > aNow;
     }));
 }
--- a/dogwoodvale/src/Backpressure/ServerRests.h
+++ b/dogwoodvale/src/Backpressure/ServerRests.h
@@ -7,43 +7,49 @@
 
 namespace dogwoodvale {
 
-/// Servers that have asked this gateway for rest: they get nothing from it
-/// until the rest is over, then one request at a time until one is not turned
-/// away.
+/// Servers that have asked this gateway to back off. They get no requests until
+/// the back-off time has passed, and then one probe at a time until a probe is
+/// not rejected.
 ///
-/// A rest ends by time only: what was sent before it may still be answered.
+/// Only time ends a back-off: a successful response that arrives during it may
+/// belong to a request sent before it began.
 class ServerRests
 {
 public:
-  /// An answer that turned a request away asked for rest.
-  /// \return whether it makes the rest longer.
-  bool OnRefused(const InstanceName& aServer, Duration aRest, TimePoint aNow);
-  /// An answer came that asks for none.
+  /// A response that rejected a request asked for a back-off.
+  /// \param aBackoff at most kMaxBackoff is used; zero or less is ignored.
+  /// \return whether this extends the current back-off.
+  bool OnRefused(const InstanceName& aServer,
+                 Duration aBackoff,
+                 TimePoint aNow);
+  /// A response arrived that does not ask for a back-off. Ends probing if the
+  /// back-off time has passed.
   void OnAnswer(const InstanceName& aServer, TimePoint aNow);
   void OnSent(const InstanceName& aServer, TimePoint aNow);
   void Forget(const InstanceName& aServer);
 
   bool MaySend(const InstanceName& aServer, TimePoint aNow) const;
-  /// Until a request may be sent; zero for a server that asked for no rest.
+  /// Time until a request may be sent; zero for a server without a back-off.
   Duration UntilFree(const InstanceName& aServer, TimePoint aNow) const;
-  /// Servers whose rest is not over.
+  /// Number of servers whose back-off time has not passed.
   std::size_t RestingCount(TimePoint aNow) const;
 
-  /// A server that asks for more is tried again after this all the same.
+  /// Maximum back-off; a server that asks for more is probed after this time.
   static constexpr Duration kLongest = std::chrono::minutes(10);
-  /// Without a word on a trial the next is made after this.
+  /// Time after which the next probe is sent if one gets no response.
   static constexpr Duration kTrialPatience = milliseconds(250);
 
 private:
-  struct Rest
+  struct Backoff
   {
-    /// When a request may be sent: the end of the rest, or of the patience with
-    /// the last trial.
+    /// When a request may be sent: at the end of the back-off, or when the last
+    /// probe has timed out.
     TimePoint freeAt{};
+    /// When the back-off time ends.
     TimePoint endsAt{};
   };
 
-  std::map<InstanceName, Rest> rests;
+  std::map<InstanceName, Backoff> backoffs;
 };
 
 } // namespace dogwoodvale
--- a/dogwoodvale/src/Routing/AdmissionControl.cpp
+++ b/dogwoodvale/src/Routing/AdmissionControl.cpp
@@ -6,17 +6,16 @@
 
 namespace {
 
-/// Spacing of returns for a customer that is bounded in concurrency only.
-constexpr Duration kDefaultSpacing = milliseconds(100);
-/// No caller is sent away for longer.
-constexpr Duration kLongestRetryAfter = seconds(30);
-constexpr Duration kLeastRetryAfter = milliseconds(50);
+/// Spacing of retries for a customer that has a concurrency limit only.
+constexpr Duration kDefaultRetrySpacing = milliseconds(100);
+constexpr Duration kMaxRetryAfter = seconds(30);
+constexpr Duration kMinRetryAfter = milliseconds(50);
 
 Duration
-SpacingOf(const CustomerLimit& aLimit)
+RetrySpacing(const CustomerLimit& aLimit)
 {
   if (aLimit.requestsPerSecond <= 0.0) {
-    return kDefaultSpacing;
+    return kDefaultRetrySpacing;
   }
   return Duration{ static_cast<Duration::rep>(1e6 / aLimit.requestsPerSecond) };
 }
@@ -60,7 +59,7 @@
     if (limit.concurrency != 0 && customer.inProgress >= limit.concurrency) {
       return Refuse(customer,
                     ErrorCode::ConcurrencyLimited,
-                    SpacingOf(limit),
+                    RetrySpacing(limit),
                     aNow,
                     aRandom);
     }
@@ -103,17 +102,17 @@
                          TimePoint aNow,
                          std::mt19937_64& aRandom)
 {
-  // Each refusal takes the next place in a line of returns. Without it all
-  // that were refused in a burst come back in the same moment and are refused
-  // once more.
-  const Duration spacing = SpacingOf(*aCustomer.limit);
-  const TimePoint earliest = aNow + std::max(aWait, kLeastRetryAfter);
-  const TimePoint latest = aNow + kLongestRetryAfter;
-  aCustomer.lastReturn =
-    std::min(std::max(earliest, aCustomer.lastReturn + spacing), latest);
+  // Each refusal is scheduled one spacing after the previous one. With a common
+  // Retry-After all requests refused in a burst would return at the same time
+  // and be refused again.
+  const Duration spacing = RetrySpacing(*aCustomer.limit);
+  const TimePoint earliest = aNow + std::max(aWait, kMinRetryAfter);
+  const TimePoint latest = aNow + kMaxRetryAfter;
+  aCustomer.lastRetryAt =
+    std::min(std::max(earliest, aCustomer.lastRetryAt + spacing), latest);
   std::uniform_int_distribution<Duration::rep> jitter(0, spacing.count());
   const Duration wait =
-    Between(aNow, aCustomer.lastReturn) + Duration{ jitter(aRandom) };
+    Between(aNow, aCustomer.lastRetryAt) + Duration{ jitter(aRandom) };
   RequestError error;
   error.code = aCode;
   error.disposition = Disposition::NotRun;
@@ -125,7 +124,7 @@
 SpreadRetryAfter(Duration aLeast, std::mt19937_64& aRandom)
 {
   const Duration least =
-    std::clamp(aLeast, kLeastRetryAfter, Duration(kLongestRetryAfter));
+    std::clamp(aLeast, kMinRetryAfter, Duration(kMaxRetryAfter));
   std::uniform_int_distribution<Duration::rep> extra(0, least.count());
   return std::chrono::ceil<milliseconds>(least + Duration{ extra(aRandom) });
 }
--- a/dogwoodvale/src/Routing/AdmissionControl.h
+++ b/dogwoodvale/src/Routing/AdmissionControl.h
@@ -13,40 +13,43 @@
 
 namespace dogwoodvale {
 
-/// What one customer may send through this entry.
+/// Request limits of one customer at one entry.
 struct CustomerLimit
 {
-  /// 0 means no bound.
+  /// 0 means unlimited.
   double requestsPerSecond = 0.0;
-  /// Requests that may come at once; at least 1 is taken.
+  /// Token bucket size in requests; values below 1 count as 1.
   double burst = 1.0;
-  /// Requests in progress; 0 means no bound.
+  /// Maximum number of requests in progress; 0 means unlimited.
   std::uint32_t concurrency = 0;
 
   bool operator==(const CustomerLimit&) const = default;
 };
 
-/// Bounds each customer's request rate and concurrency at this entry.
+/// Limits the request rate and concurrency of each customer at this entry.
 class AdmissionControl
 {
 public:
-  /// Sets or changes a customer's limit; requests in progress still count.
+  /// Sets or changes a customer's limit. Requests already in progress count
+  /// against the new one. A changed limit starts with a full token bucket.
   void SetLimit(const CustomerName& aCustomer, const CustomerLimit& aLimit);
-  /// Lifts the customer's limit.
+  /// Removes the customer's limit.
   void ClearLimit(const CustomerName& aCustomer);
 
-  /// Admits a request, which Release() has to end; or tells why not: NotRun,
-  /// RateLimited or ConcurrencyLimited, with a Retry-After. Refused requests
-  /// are told different times, at the rate that the customer may send at, so
-  /// that they do not come back together.
+  /// Admits a request if the customer's limits allow it.
+  /// \return nothing if admitted; the caller must then call Release() when the
+  /// request ends. Otherwise an error with disposition NotRun, code RateLimited
+  /// or ConcurrencyLimited, and a Retry-After. Successive refusals get
+  /// Retry-After times spaced at the customer's allowed rate, so that the
+  /// retries do not arrive at once.
   std::optional<RequestError> Admit(const CustomerName& aCustomer,
                                     TimePoint aNow,
                                     std::mt19937_64& aRandom);
   void Release(const CustomerName& aCustomer);
 
   std::uint32_t InProgress(const CustomerName& aCustomer) const;
-  /// Customers that take up memory: those with a limit or with requests in
-  /// progress.
+  /// Number of customers held in memory: those with a limit or with requests
+  /// in progress.
   std::size_t CustomerCount() const { return this->customers.size(); }
 
 private:
@@ -55,8 +58,8 @@
     std::optional<CustomerLimit> limit;
     TokenBucket bucket{ 0.0, 0.0 };
     std::uint32_t inProgress = 0;
-    /// When the last refused request was told to come back.
-    TimePoint lastReturn{};
+    /// Retry time given to the last refused request.
+    TimePoint lastRetryAt{};
   };
 
   static RequestError Refuse(Customer& aCustomer,
@@ -68,8 +71,9 @@
   absl::flat_hash_map<CustomerName, Customer> customers;
 };
 
-/// A Retry-After of at least \p aLeast, drawn up to twice that much, for
-/// refusals that are no one customer's doing, such as a full queue.
+/// A random Retry-After between \p aLeast and twice \p aLeast, for refusals
+/// that are not due to one customer's limit, such as a full queue. \p aLeast
+/// is first clamped to 50 ms ... 30 s.
 milliseconds
 SpreadRetryAfter(Duration aLeast, std::mt19937_64& aRandom);
 
--- a/dogwoodvale/src/Routing/BackendChooser.cpp
+++ b/dogwoodvale/src/Routing/BackendChooser.cpp
@@ -37,8 +37,8 @@
 
 namespace {
 
-/// With one server in ten unusable, four draws all fail once in 10,000 times.
-constexpr int kDraws = 4;
+/// If 10% of servers are unusable, four draws fail with probability 1e-4.
+constexpr int kMaxDraws = 4;
 
 } // namespace
 
@@ -68,7 +68,7 @@
     return nullptr;
   }
   std::uniform_int_distribution<std::size_t> position(0, all.size() - 1);
-  for (int draw = 0; draw < kDraws; ++draw) {
+  for (int draw = 0; draw < kMaxDraws; ++draw) {
     const Backend& drawn = all[position(aRandom)];
     if (&drawn != aOther && IsCandidate(drawn, aRequest)) {
       return &drawn;
--- a/dogwoodvale/src/Routing/BackendTable.cpp
+++ b/dogwoodvale/src/Routing/BackendTable.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-/// Weight of the newest sample in the smoothed first-token latency.
-constexpr double kLatencyGain = 0.2;
+/// Weight of a new sample in the moving average of the time to the first token.
+constexpr double kLatencySmoothing = 0.2;
 
 } // namespace
 
@@ -40,7 +40,7 @@
   }
   const std::size_t position = found->second;
   this->positions.erase(found);
-  this->CountReport(this->backends[position], -1.0);
+  this->AddReportToSums(this->backends[position], -1.0);
   if (position + 1 != this->backends.size()) {
     this->backends[position] = std::move(this->backends.back());
     this->positions[this->backends[position].name] = position;
@@ -58,10 +58,10 @@
 }
 
 void
-BackendTable::SetStanding(const InstanceName& aName, Standing aStanding)
+BackendTable::SetStanding(const InstanceName& aName, Standing aState)
 {
   if (Backend* known = this->FindMutable(aName)) {
-    known->standing = aStanding;
+    known->standing = aState;
   }
 }
 
@@ -71,10 +71,10 @@
                            TimePoint aNow)
 {
   if (Backend* known = this->FindMutable(aName)) {
-    this->CountReport(*known, -1.0);
+    this->AddReportToSums(*known, -1.0);
     known->report = aReport;
     known->reportedAt = aNow;
-    this->CountReport(*known, 1.0);
+    this->AddReportToSums(*known, 1.0);
   }
 }
 
@@ -113,7 +113,7 @@
       known->firstTokenMicros == 0.0
         ? sample
         : known->firstTokenMicros +
-            kLatencyGain * (sample - known->firstTokenMicros);
+            kLatencySmoothing * (sample - known->firstTokenMicros);
   }
 }
 
@@ -166,12 +166,12 @@
 }
 
 void
-BackendTable::CountReport(const Backend& aBackend, double aSign)
+BackendTable::AddReportToSums(const Backend& aBackend, double aSign)
 {
   if (!aBackend.HasReport()) {
     return;
   }
-  const double others = aBackend.ReportedOthers() / aBackend.Slots();
+  const double others = aBackend.ReportedByOthers() / aBackend.Slots();
   this->othersSum += aSign * others;
   this->reportedCount += aSign > 0.0 ? 1 : -1;
 }
--- a/dogwoodvale/src/Routing/BackendTable.h
+++ b/dogwoodvale/src/Routing/BackendTable.h
@@ -16,69 +16,75 @@
 
 namespace dogwoodvale {
 
-/// What HealthTracker allows a server.
+/// State of a server in outlier detection, see HealthTracker.
 enum class Standing : std::uint8_t
 {
   InService,
-  /// One request at a time, to see whether it has recovered.
+  /// Gets one request at a time, to find out whether it has recovered.
   OnTrial,
+  /// Gets no requests.
   Ejected,
 };
 
-/// How a request that was sent to a backend server ended there.
+/// Outcome of one attempt at a backend server.
 enum class SendResult : std::uint8_t
 {
   Completed,
-  /// Refused early, not run; says nothing against the server's health.
+  /// Refused early and not run, see ShouldRefuseEarly(). Not a failure for
+  /// outlier detection.
   Refused,
   Failed,
-  /// Given up by the caller or this entry.
+  /// Cancelled by the caller or by this entry.
   Cancelled,
 };
 
-/// Taken for a concurrency limit that is not known yet.
+/// Concurrency limit assumed until the server reports one.
 inline constexpr double kGuessedSlots = 8.0;
 
-/// What this entry knows of one sidecar and its backend server.
+/// State that this entry keeps about one backend server and its sidecar.
 struct Backend
 {
   InstanceName name;
   DataCentreName dataCentre;
+  /// Connected and not draining.
   bool available = false;
   Standing standing = Standing::InService;
   LoadReport report;
-  /// Epoch of the clock until the first report.
+  /// Time of the last report; TimePoint{} before the first.
   TimePoint reportedAt{};
-  /// Own requests there that have not ended.
+  /// Requests sent by this entry that have not ended.
   std::uint32_t inFlight = 0;
+  /// Estimated tokens of those requests.
   std::uint64_t inFlightTokens = 0;
   std::array<std::uint32_t, kTierCount> inFlightByTier{};
-  /// Smoothed latency to the first token; 0 until one is known.
+  /// Moving average of the time to the first token; 0 until there is a sample.
   double firstTokenMicros = 0.0;
+  /// Requests ever sent there by this entry.
   std::uint64_t sent = 0;
 
   bool HasReport() const { return this->reportedAt != TimePoint{}; }
 
-  /// The reported concurrency limit, or a guess until one is reported.
+  /// The reported concurrency limit, or kGuessedSlots before it is reported.
   double Slots() const
   {
     return this->report.limit == 0 ? kGuessedSlots : this->report.limit;
   }
 
-  /// Requests there per slot, by the last report and own work since.
+  /// Requests per slot: those of other entries by the last report, plus this
+  /// entry's own in flight.
   double Load() const
   {
-    return (this->ReportedOthers() + this->inFlight) / this->Slots();
+    return (this->ReportedByOthers() + this->inFlight) / this->Slots();
   }
 
-  /// Requests of other entries there, by the last report.
-  double ReportedOthers() const
+  /// Requests of other entries at the server, by the last report.
+  double ReportedByOthers() const
   {
     const std::uint32_t all = this->report.running + this->report.queued;
     return all - std::min(all, this->report.fromReader);
   }
 
-  /// Whether new requests may go there.
+  /// Whether new requests may be sent there.
   bool IsUsable() const
   {
     return this->available &&
@@ -87,22 +93,22 @@
   }
 };
 
-/// Per service, what this entry knows of each sidecar in its subset.
+/// The backend servers of one service that are in this entry's subset.
 ///
-/// All calls but Upsert ignore names that are not in the table, since reports
-/// and endings may come after a server has left.
+/// All functions except Upsert() ignore names that are not in the table, since
+/// reports and completions may arrive after a server was removed.
 class BackendTable
 {
 public:
   explicit BackendTable(PrefixIndexSettings aPrefixes = {});
 
-  /// Adds a server, unavailable at first; or changes its data centre.
+  /// Adds a server, initially unavailable, or updates its data centre.
   void Upsert(const InstanceName& aName, const DataCentreName& aDataCentre);
   void Remove(const InstanceName& aName);
 
-  /// Connected and not draining.
+  /// \param aAvailable whether it is connected and not draining.
   void SetAvailable(const InstanceName& aName, bool aAvailable);
-  void SetStanding(const InstanceName& aName, Standing aStanding);
+  void SetStanding(const InstanceName& aName, Standing aState);
 
   void OnLoadReport(const InstanceName& aName,
                     const LoadReport& aReport,
@@ -110,7 +116,8 @@
   void OnSent(const InstanceName& aName,
               std::uint64_t aEstimatedTokens,
               Tier aTier);
-  /// \param aFirstToken from sending to the first token; zero if none came.
+  /// \param aFirstToken time from sending to the first token; zero if none
+  /// arrived.
   void OnEnded(const InstanceName& aName,
                std::uint64_t aEstimatedTokens,
                Tier aTier,
@@ -120,28 +127,31 @@
 
   /// Null if unknown. Valid until the next Upsert or Remove.
   const Backend* Find(const InstanceName& aName) const;
-  /// In no order that means anything. Valid until the next Upsert or Remove.
+  /// In unspecified order. Valid until the next Upsert or Remove.
   std::span<const Backend> All() const { return this->backends; }
   std::size_t AvailableCount() const;
   std::size_t UsableCount() const;
-  /// Mean over the available servers that have reported, of the requests there
-  /// per slot; above 1 when there are queues, 0 when nothing is known.
+  /// Mean of Backend::Load() over the available servers that have reported.
+  /// Above 1 when requests queue; 0 if none has reported.
   double MeanLoad() const;
-  /// Mean over the servers that have reported, of the requests of other
-  /// entries per slot.
+  /// Mean number of other entries' requests per slot over all servers that have
+  /// reported; 0 if none has.
   double MeanOthersPerSlot() const;
 
-  /// Hints about which server holds which prompt prefix.
+  /// Hints about which servers have which prompt prefix cached.
   PrefixIndex& Prefixes() { return this->prefixes; }
   const PrefixIndex& Prefixes() const { return this->prefixes; }
 
 private:
   Backend* FindMutable(const InstanceName& aName);
-  void CountReport(const Backend& aBackend, double aSign);
+  /// Adds the server's report to the running sums (\p aSign 1) or subtracts it
+  /// (-1).
+  void AddReportToSums(const Backend& aBackend, double aSign);
 
   std::vector<Backend> backends;
   absl::flat_hash_map<InstanceName, std::size_t> positions;
   PrefixIndex prefixes;
+  /// Sum of other entries' requests per slot over the servers that reported.
   double othersSum = 0.0;
   std::size_t reportedCount = 0;
 };
--- a/dogwoodvale/src/Routing/Cells.cpp
+++ b/dogwoodvale/src/Routing/Cells.cpp
@@ -23,8 +23,8 @@
 std::size_t
 CellOf(const InstanceName& aName, std::size_t aCells)
 {
-  // The cell with the highest score for this name, so that a further cell takes
-  // only names for which its own score is higher.
+  // Highest random weight: an added cell takes only the names for which its own
+  // score is the highest.
   std::size_t best = 0;
   std::uint64_t bestScore = 0;
   for (std::size_t cell = 0; cell < aCells; ++cell) {
--- a/dogwoodvale/src/Routing/Cells.h
+++ b/dogwoodvale/src/Routing/Cells.h
@@ -7,27 +7,30 @@
 
 namespace dogwoodvale {
 
-/// Splits a large fleet into cells: gateways of one cell share the backend
-/// servers of that cell and tell each other what they have under way there.
+/// \file Cells.h
+/// Splits a large fleet into cells. The gateways of a cell share the backend
+/// servers of that cell and exchange their in-flight counts for them.
 ///
-/// Every gateway that tells every other of its work can do so less often the
-/// more there are. With 300, what each knows of a server is seconds old: they
-/// all send to the one that was idle then, and requests queue there. In a cell
-/// the news stays as fresh as in a fleet of that size, and so does the work of
-/// choosing.
-
-/// Gateways that share a cell, about: with so many, each hears of every other
-/// some six times a second at the pace that PeerExchange keeps.
+/// If every gateway sent its load to every other, the update interval would
+/// grow with the size of the fleet. With 300 gateways the load known for a
+/// server is seconds old: all gateways send to the server that was idle then,
+/// and requests queue there. Within a cell, the age of the load data and the
+/// cost of a choice stay those of a fleet of the cell's size.
+
+/// Target number of gateways per cell. With 32, each gateway gets about six
+/// updates a second from every other at the sending rate of PeerExchange.
 inline constexpr std::size_t kGatewaysPerCell = 32;
 
-/// How many cells a fleet of so many gateways has.
-/// \param aNow cells until now; kept as long as they are not half too large or
-/// too small, since each change moves servers and leaves their caches behind.
+/// The number of cells for a fleet of \p aGateways gateways; at least 1.
+/// \param aNow the current number of cells. It is kept while the mean cell size
+/// is between 1/2 and 3/2 of kGatewaysPerCell, because each change reassigns
+/// servers, whose prompt caches are then of no use to their new gateways.
 std::size_t
 CellCount(std::size_t aGateways, std::size_t aNow);
 
-/// The cell of a gateway or a backend server: the same at every gateway that
-/// counts as many cells. One more cell moves only those that go to it.
+/// The cell of a gateway or backend server, from 0, by rendezvous hashing: the
+/// same at all gateways that use the same number of cells. Adding a cell moves
+/// only the names that the new cell gets.
 std::size_t
 CellOf(const InstanceName& aName, std::size_t aCells);
 
--- a/dogwoodvale/src/Routing/EarlyRefusal.cpp
+++ b/dogwoodvale/src/Routing/EarlyRefusal.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-/// Requests per slot from which all servers count as full.
-constexpr double kOverload = 1.5;
+/// Mean number of requests per slot from which all servers count as full.
+constexpr double kOverloadedMeanLoad = 1.5;
 
 } // namespace
 
@@ -21,7 +21,7 @@
 std::uint32_t
 AllowedRefusals(const BackendTable& aTable)
 {
-  if (aTable.MeanLoad() >= kOverload) {
+  if (aTable.MeanLoad() >= kOverloadedMeanLoad) {
     return 0;
   }
   const std::size_t usable = aTable.UsableCount();
--- a/dogwoodvale/src/Routing/EarlyRefusal.h
+++ b/dogwoodvale/src/Routing/EarlyRefusal.h
@@ -8,24 +8,26 @@
 
 namespace dogwoodvale {
 
-/// How often a sidecar may refuse a request early and send it elsewhere.
+/// Maximum number of early refusals per request.
 inline constexpr std::uint32_t kMaxEarlyRefusals = 2;
 
-/// The sidecar's side: whether to refuse a request at once, not run, because it
-/// would have to wait here and may not have to elsewhere.
+/// Called by the sidecar: whether to refuse a request immediately, without
+/// running it, because it would queue here and might not at another server.
 ///
-/// An entry's picture of the load is seconds old where it sends little. The
-/// sidecar's is exact, and a hop costs a round trip of a few milliseconds,
-/// against the wait for a slot.
+/// The load data of an entry that sends a server few requests can be seconds
+/// old, while the sidecar knows its own load exactly. Trying another server
+/// costs a round trip of a few milliseconds, which is less than the wait for a
+/// slot.
 ///
-/// \param aOwn the sidecar's load as it is now.
-/// \param aRefusalsLeft what the entry allowed, with the request.
+/// \param aOwn the sidecar's current load.
+/// \param aRefusalsLeft early refusals that the entry still allows for this
+/// request.
 bool
 ShouldRefuseEarly(const LoadReport& aOwn, std::uint32_t aRefusalsLeft);
 
-/// The entry's side: how many early refusals to allow a new request. None where
-/// no other server is usable, or all are believed full: there refusals would
-/// only multiply the messages of an overload.
+/// Called by the entry: the number of early refusals to allow a new request. 0
+/// when no other server is usable, or when the mean load shows that all servers
+/// are full: refusals would then only multiply the messages in an overload.
 std::uint32_t
 AllowedRefusals(const BackendTable& aTable);
 
--- a/dogwoodvale/src/Routing/HealthTracker.cpp
+++ b/dogwoodvale/src/Routing/HealthTracker.cpp
@@ -8,15 +8,17 @@
 
 namespace {
 
-constexpr double kGain = 0.2;
-/// What older results still count for, per new one.
-constexpr double kDecay = 0.9;
-constexpr std::uint32_t kMostDoublings = 16;
-/// Results decay, so their weight never quite reaches their number.
-constexpr double kLeastWeight = 0.8;
-/// A trial ends well after two successes, of which the first has decayed once.
-constexpr double kTrialSuccesses = 1.9;
-/// Above any slowness.
+/// Weight of a new sample in a moving average.
+constexpr double kSmoothing = 0.2;
+/// Factor applied to the weight of older results with each new one.
+constexpr double kResultDecay = 0.9;
+constexpr std::uint32_t kMaxDoublings = 16;
+/// The weight that each required sample must at least have. Decayed results
+/// weigh less than their number.
+constexpr double kMinWeightPerSample = 0.8;
+/// Weight of two successes, the first decayed once: ends probing.
+constexpr double kProbeSuccessWeight = 1.9;
+/// Crashes and failures are ejected before any slow server.
 constexpr double kCrashSeverity = 1e12;
 constexpr double kFailureSeverity = 1e9;
 
@@ -24,7 +26,7 @@
 Smooth(double& aValue, Duration aSample)
 {
   const auto sample = static_cast<double>(aSample.count());
-  aValue = aValue == 0.0 ? sample : aValue + kGain * (sample - aValue);
+  aValue = aValue == 0.0 ? sample : aValue + kSmoothing * (sample - aValue);
 }
 
 double
@@ -33,8 +35,8 @@
   if (aValues.empty()) {
     return 0.0;
   }
-  // The lower of two middle ones, so that of two servers the slow one can be
-  // told apart.
+  // The lower of the two middle values, so that with two servers the slow one
+  // can be detected.
   const auto middle =
     aValues.begin() + static_cast<std::ptrdiff_t>((aValues.size() - 1) / 2);
   std::nth_element(aValues.begin(), middle, aValues.end());
@@ -82,8 +84,8 @@
 HealthTracker::OnSuccess(const InstanceName& aName)
 {
   if (Server* server = this->Find(aName)) {
-    server->successes = server->successes * kDecay + 1.0;
-    server->failures *= kDecay;
+    server->successes = server->successes * kResultDecay + 1.0;
+    server->failures *= kResultDecay;
   }
 }
 
@@ -91,8 +93,8 @@
 HealthTracker::OnFailure(const InstanceName& aName)
 {
   if (Server* server = this->Find(aName)) {
-    server->failures = server->failures * kDecay + 1.0;
-    server->successes *= kDecay;
+    server->failures = server->failures * kResultDecay + 1.0;
+    server->successes *= kResultDecay;
   }
 }
 
@@ -108,18 +110,18 @@
 HealthTracker::Evaluate(TimePoint aNow, double aLoad)
 {
   Changes changes;
-  this->ReturnWhereDue(aNow, aLoad, changes);
+  this->ReinstateServers(aNow, aLoad, changes);
 
   const Medians medians = this->MeasureMedians();
   std::vector<Outlier> outliers;
   for (auto& [name, server] : this->servers) {
-    if (server.standing == Standing::Ejected) {
+    if (server.state == Standing::Ejected) {
       continue;
     }
-    if (auto outlier = this->Judge(name, server, medians)) {
+    if (auto outlier = this->DetectOutlier(name, server, medians)) {
       outliers.push_back(*std::move(outlier));
     } else {
-      this->Confirm(name, server, aNow, changes);
+      this->UpdateHealthy(name, server, aNow, changes);
     }
   }
   std::stable_sort(outliers.begin(),
@@ -140,7 +142,7 @@
 {
   const auto found = this->servers.find(aName);
   return found == this->servers.end() ? Standing::InService
-                                      : found->second.standing;
+                                      : found->second.state;
 }
 
 std::size_t
@@ -148,7 +150,7 @@
 {
   return static_cast<std::size_t>(std::count_if(
     this->servers.begin(), this->servers.end(), [](const auto& aEntry) {
-      return aEntry.second.standing != Standing::InService;
+      return aEntry.second.state != Standing::InService;
     }));
 }
 
@@ -176,15 +178,15 @@
 }
 
 std::optional<HealthTracker::Outlier>
-HealthTracker::Judge(const InstanceName& aName,
-                     Server& aServer,
-                     const Medians& aMedians) const
+HealthTracker::DetectOutlier(const InstanceName& aName,
+                             Server& aServer,
+                             const Medians& aMedians) const
 {
   if (aServer.crashed) {
     return Outlier{ aName, &aServer, "crashed", false, kCrashSeverity };
   }
   const double results = aServer.successes + aServer.failures;
-  if (results >= this->settings.leastSamples * kLeastWeight &&
+  if (results >= this->settings.minSamples * kMinWeightPerSample &&
       aServer.failures >= results * this->settings.failureShare) {
     return Outlier{ aName, &aServer, "failing", false, kFailureSeverity };
   }
@@ -198,12 +200,12 @@
 double
 HealthTracker::Slowness(const Server& aServer, const Medians& aMedians) const
 {
-  // The latency to the first token contains the wait for a slot, which is the
-  // load's doing; it counts only where no step time is known.
+  // The time to the first token includes the wait for a slot, which depends on
+  // the load rather than on the server; it is used only without step times.
   if (aServer.stepMicros > 0.0 && aMedians.step > 0.0) {
     return aServer.stepMicros / aMedians.step;
   }
-  if (aServer.latencySamples >= this->settings.leastSamples &&
+  if (aServer.latencySamples >= this->settings.minSamples &&
       aMedians.firstToken > 0.0) {
     return aServer.firstTokenMicros / aMedians.firstToken;
   }
@@ -213,67 +215,69 @@
 bool
 HealthTracker::MayEject(const Outlier& aOutlier, double aLoad) const
 {
-  if (aOutlier.server->standing == Standing::OnTrial) {
+  if (aOutlier.server->state == Standing::OnTrial) {
     return true;
   }
   const auto total = static_cast<double>(this->servers.size());
-  const auto out = static_cast<double>(this->OutCount());
-  // One may go even from a small service, but never the last.
-  const double most = std::max(1.0, total * this->settings.largestShare);
-  const double left = total - out - 1.0;
-  if (out + 1.0 > most || left < 1.0) {
+  const auto unhealthy = static_cast<double>(this->OutCount());
+  // One server may be ejected even from a small service, but never the last.
+  const double maxUnhealthy =
+    std::max(1.0, total * this->settings.maxEjectedShare);
+  const double remaining = total - unhealthy - 1.0;
+  if (unhealthy + 1.0 > maxUnhealthy || remaining < 1.0) {
     return false;
   }
-  const double loadAfter = aLoad * (left + 1.0) / left;
-  return !aOutlier.isSlow || loadAfter <= this->settings.mostLoadAfter;
+  const double loadAfter = aLoad * (remaining + 1.0) / remaining;
+  return !aOutlier.isSlow || loadAfter <= this->settings.maxLoadAfterEjection;
 }
 
 void
 HealthTracker::Eject(const Outlier& aOutlier, TimePoint aNow, Changes& aChanges)
 {
   Server& server = *aOutlier.server;
-  const std::uint32_t doublings = std::min(server.ejections, kMostDoublings);
-  const Duration stay =
+  const std::uint32_t doublings = std::min(server.ejections, kMaxDoublings);
+  const Duration duration =
     std::min(this->settings.firstEjection * (std::int64_t{ 1 } << doublings),
              this->settings.longestEjection);
   server.isSlow = aOutlier.isSlow;
-  server.returnsAt = aNow + stay;
+  server.ejectedUntil = aNow + duration;
   ++server.ejections;
-  Enter(
+  SetState(
     aOutlier.name, server, Standing::Ejected, aOutlier.reason, aNow, aChanges);
 }
 
 void
-HealthTracker::ReturnWhereDue(TimePoint aNow, double aLoad, Changes& aChanges)
+HealthTracker::ReinstateServers(TimePoint aNow, double aLoad, Changes& aChanges)
 {
   for (auto& [name, server] : this->servers) {
-    if (server.standing == Standing::InService) {
+    if (server.state == Standing::InService) {
       continue;
     }
-    if (server.isSlow && aLoad >= this->settings.neededLoad) {
-      Enter(name, server, Standing::InService, "needed", aNow, aChanges);
-    } else if (server.standing == Standing::Ejected &&
-               aNow >= server.returnsAt) {
-      // Judged on what it does from now on.
-      Server trial;
-      trial.ejections = server.ejections;
-      trial.isSlow = server.isSlow;
-      server = trial;
-      Enter(name, server, Standing::OnTrial, "trial", aNow, aChanges);
+    if (server.isSlow && aLoad >= this->settings.returnLoad) {
+      SetState(name, server, Standing::InService, "needed", aNow, aChanges);
+    } else if (server.state == Standing::Ejected &&
+               aNow >= server.ejectedUntil) {
+      // Drops the samples, so that only results from now on count.
+      Server probed;
+      probed.ejections = server.ejections;
+      probed.isSlow = server.isSlow;
+      server = probed;
+      SetState(name, server, Standing::OnTrial, "trial", aNow, aChanges);
     }
   }
 }
 
 void
-HealthTracker::Confirm(const InstanceName& aName,
-                       Server& aServer,
-                       TimePoint aNow,
-                       Changes& aChanges) const
+HealthTracker::UpdateHealthy(const InstanceName& aName,
+                             Server& aServer,
+                             TimePoint aNow,
+                             Changes& aChanges) const
 {
-  if (aServer.standing == Standing::OnTrial) {
-    if (aServer.successes >= kTrialSuccesses) {
+  if (aServer.state == Standing::OnTrial) {
+    if (aServer.successes >= kProbeSuccessWeight) {
       aServer.isSlow = false;
-      Enter(aName, aServer, Standing::InService, "recovered", aNow, aChanges);
+      SetState(
+        aName, aServer, Standing::InService, "recovered", aNow, aChanges);
     }
     return;
   }
@@ -283,16 +287,16 @@
 }
 
 void
-HealthTracker::Enter(const InstanceName& aName,
-                     Server& aServer,
-                     Standing aStanding,
-                     const char* aReason,
-                     TimePoint aNow,
-                     Changes& aChanges)
+HealthTracker::SetState(const InstanceName& aName,
+                        Server& aServer,
+                        Standing aState,
+                        const char* aReason,
+                        TimePoint aNow,
+                        Changes& aChanges)
 {
-  aServer.standing = aStanding;
+  aServer.state = aState;
   aServer.since = aNow;
-  aChanges.push_back({ aName, aStanding, aReason });
+  aChanges.push_back({ aName, aState, aReason });
 }
 
 } // namespace dogwoodvale
--- a/dogwoodvale/src/Routing/LeastConnectionsChooser.h
+++ b/dogwoodvale/src/Routing/LeastConnectionsChooser.h
@@ -5,8 +5,9 @@
 
 namespace dogwoodvale {
 
-/// Takes the server with the fewest own requests in flight; does not look at
-/// load reports. For comparison. Ties go to the first after a random start.
+/// Picks the server with the fewest requests of this entry in flight and
+/// ignores load reports; a baseline for benchmarks. The scan starts at a random
+/// position and the first of equal servers wins.
 class LeastConnectionsChooser final : public BackendChooser
 {
 public:
--- a/dogwoodvale/src/Routing/LeastLoadedChooser.cpp
+++ b/dogwoodvale/src/Routing/LeastLoadedChooser.cpp
@@ -7,12 +7,14 @@
 
 namespace {
 
-/// Share of a prefill that a hint saves on average; a reported prefix may have
-/// been evicted since, and one that was only sent there more so.
-constexpr double kReportedTrust = 0.9;
-constexpr double kLikelyTrust = 0.6;
+/// Mean share of the prefill time that a hint saves. A reported prefix may have
+/// been evicted since; for one that this entry only sent there, that is more
+/// likely.
+constexpr double kReportedSavedShare = 0.9;
+constexpr double kLikelySavedShare = 0.6;
 
-/// Share of the reported queue that is served before a request of \p aTier.
+/// Share of the reported queue that is served before a request of \p aTier; 1
+/// when the queue's tiers are not known.
 double
 ShareAhead(const LoadReport& aReport, Tier aTier)
 {
@@ -41,14 +43,15 @@
                            TimePoint aNow,
                            std::mt19937_64& aRandom)
 {
-  double trust = 0.0;
-  const Backend* holder = this->FindHolder(aTable, aRequest, aNow, trust);
+  double savedShare = 0.0;
+  const Backend* holder =
+    this->FindPrefixHolder(aTable, aRequest, aNow, savedShare);
   const Backend* best = nullptr;
   double bestWait = 0.0;
   const auto consider = [&](const Backend& aBackend) {
     double wait = this->ExpectedWait(aBackend, aTable, aRequest, aNow);
     if (&aBackend == holder) {
-      wait -= this->PrefillMicros(aBackend, aRequest) * trust;
+      wait -= this->PrefillMicros(aBackend, aRequest) * savedShare;
     }
     if (best == nullptr || wait < bestWait) {
       best = &aBackend;
@@ -58,8 +61,8 @@
   if (holder != nullptr) {
     consider(*holder);
   }
-  // Neighbours from a random start: distinct with no bookkeeping, and close in
-  // memory.
+  // Consecutive servers from a random start: distinct without bookkeeping, and
+  // close in memory.
   const std::span<const Backend> all = aTable.All();
   std::size_t position =
     all.empty() ? 0 : internal::DrawPosition(all.size(), aRandom);
@@ -89,17 +92,18 @@
   const double slots = aBackend.Slots();
   const double step = this->StepMicros(aBackend);
   const double weight = this->ReportWeight(aBackend, aNow);
-  // Old news fades into the mean of all rather than into "empty", which would
-  // draw everyone to the server that is silent because it is swamped.
-  const double others = weight * aBackend.ReportedOthers() / slots +
+  // The weight of an old report goes to the mean, not to zero load: otherwise
+  // all entries would send to a server that is too overloaded to report.
+  const double others = weight * aBackend.ReportedByOthers() / slots +
                         (1.0 - weight) * aTable.MeanOthersPerSlot();
   const double load = others + aBackend.inFlight / slots;
   const double prefill = this->PrefillMicros(aBackend, aRequest);
   if (load < 1.0) {
     return step * (1.0 + load) + prefill;
   }
-  // Each slot gives one token a step, so the queue drains at slots per step. A
-  // report without an estimate must not make a long queue look free.
+  // Each slot generates one token per step, so the queue drains by `slots`
+  // tokens per step. A report without a token estimate falls back to the
+  // default, so that a long queue does not appear to take no time.
   const double tokensPerRequest =
     report.queued == 0 || report.queuedTokens == 0
       ? this->settings.defaultTokens
@@ -116,8 +120,10 @@
   }
   const auto age =
     static_cast<double>(Between(aBackend.reportedAt, aNow).count());
-  const auto life = static_cast<double>(this->settings.reportLife.count());
-  return this->settings.reportWeight * std::exp(-std::max(age, 0.0) / life);
+  const auto decayTime =
+    static_cast<double>(this->settings.reportDecayTime.count());
+  return this->settings.reportWeight *
+         std::exp(-std::max(age, 0.0) / decayTime);
 }
 
 double
@@ -137,10 +143,10 @@
 }
 
 const Backend*
-LeastLoadedChooser::FindHolder(const BackendTable& aTable,
-                               const ChoiceRequest& aRequest,
-                               TimePoint aNow,
-                               double& aTrust) const
+LeastLoadedChooser::FindPrefixHolder(const BackendTable& aTable,
+                                     const ChoiceRequest& aRequest,
+                                     TimePoint aNow,
+                                     double& aSavedShare) const
 {
   if (aRequest.prefixHash == 0) {
     return nullptr;
@@ -150,9 +156,9 @@
     const Backend* backend = aTable.Find(holder.server);
     if (backend != nullptr && prefixes.IsCurrent(holder, aNow) &&
         internal::IsCandidate(*backend, aRequest)) {
-      aTrust = prefixes.ConfidenceIn(holder) == PrefixConfidence::Reported
-                 ? kReportedTrust
-                 : kLikelyTrust;
+      aSavedShare = prefixes.ConfidenceIn(holder) == PrefixConfidence::Reported
+                      ? kReportedSavedShare
+                      : kLikelySavedShare;
       return backend;
     }
   }
--- a/dogwoodvale/src/Routing/LeastLoadedChooser.h
+++ b/dogwoodvale/src/Routing/LeastLoadedChooser.h
@@ -5,34 +5,37 @@
 
 namespace dogwoodvale {
 
-/// How LeastLoadedChooser estimates a server's wait.
+/// Parameters of the wait estimate of LeastLoadedChooser.
 struct LeastLoadedSettings
 {
-  /// Servers drawn per choice, the prefix's holder not counted.
+  /// Servers compared per choice, besides one that has the prefix cached.
   std::uint32_t draws = 8;
-  /// What a fresh report counts for; the mean of all counts for the rest. Low,
-  /// since a report that came late cannot be told from a fresh one.
+  /// Weight of a report that has just arrived, 0 to 1; the mean over all
+  /// servers has the remaining weight. Low, because a delayed report can't be
+  /// told from a recent one.
   double reportWeight = 0.25;
-  /// A report of this age counts for 1/e of a fresh one.
-  Duration reportLife = seconds(1);
-  /// Prompt tokens that an engine takes in per step.
+  /// Time constant by which the weight of a report decays: 1/e at this age.
+  Duration reportDecayTime = seconds(1);
+  /// Prompt tokens that an engine prefills per step.
   std::uint32_t prefillTokensPerStep = 256;
-  /// Tokens taken for a request of unknown length.
+  /// Tokens assumed for a request of unknown length.
   std::uint32_t defaultTokens = 200;
-  /// Step time taken for a server that has not reported one.
+  /// Step time assumed for a server that has not reported one.
   Duration defaultStep = milliseconds(6);
 };
 
-/// Draws some servers, and takes the one with the shortest expected wait.
+/// Compares some randomly drawn servers and picks the one with the shortest
+/// expected wait.
 ///
-/// The own work at a server is known exactly and counts in full. That of other
-/// entries is as old as the last report, so it counts for little and fades into
-/// the mean: entries that all trusted the same old report would all run to the
-/// same server. A server that probably holds the prefix comes into the
-/// comparison, with the prefill that it saves to its credit.
+/// This entry's own requests at a server are known exactly and have full
+/// weight. Those of other entries are as old as the last report, so they have a
+/// low weight that decays towards the mean: if all entries trusted the same old
+/// report, they would all send to the same server. A server that probably has
+/// the prefix cached joins the comparison, with the saved prefill time
+/// subtracted from its wait.
 ///
-/// What the choice gets wrong, the sidecar puts right: see ShouldRefuseEarly().
-/// docs/design/routing.md has the measurements.
+/// A sidecar corrects a wrong choice by an early refusal, see
+/// ShouldRefuseEarly(). docs/design/routing.md has the measurements.
 class LeastLoadedChooser final : public BackendChooser
 {
 public:
@@ -43,7 +46,8 @@
                                      TimePoint aNow,
                                      std::mt19937_64& aRandom) override;
 
-  /// Expected microseconds to the first token; for comparison only.
+  /// Estimated microseconds to the first token; only meaningful for comparing
+  /// servers.
   double ExpectedWait(const Backend& aBackend,
                       const BackendTable& aTable,
                       const ChoiceRequest& aRequest,
@@ -54,10 +58,13 @@
   double StepMicros(const Backend& aBackend) const;
   double PrefillMicros(const Backend& aBackend,
                        const ChoiceRequest& aRequest) const;
-  const Backend* FindHolder(const BackendTable& aTable,
-                            const ChoiceRequest& aRequest,
-                            TimePoint aNow,
-                            double& aTrust) const;
+  /// The most trusted candidate that may have the request's prefix cached; null
+  /// if there is none.
+  /// \param[out] aSavedShare expected share of the prefill time that it saves.
+  const Backend* FindPrefixHolder(const BackendTable& aTable,
+                                  const ChoiceRequest& aRequest,
+                                  TimePoint aNow,
+                                  double& aSavedShare) const;
 
   LeastLoadedSettings settings;
 };
--- a/dogwoodvale/src/Routing/LoadReport.h
+++ b/dogwoodvale/src/Routing/LoadReport.h
@@ -8,24 +8,24 @@
 
 namespace dogwoodvale {
 
-/// What a sidecar tells of its backend server; travels in peer messages.
+/// Load of a backend server as reported by its sidecar in peer messages.
 struct LoadReport
 {
-  /// Requests that the engine is working on.
+  /// Requests running in the engine.
   std::uint32_t running = 0;
-  /// Requests that wait in the sidecar's queue.
+  /// Requests waiting in the sidecar's queue.
   std::uint32_t queued = 0;
-  /// Of running and queued, those sent by the entry that reads the report. The
-  /// reader knows its own part exactly and at once, so that only the others'
-  /// part is as old as the report.
+  /// Those of running and queued that were sent by the entry that receives the
+  /// report. The receiver subtracts them and uses its own exact count instead,
+  /// so that only the count of other entries' requests is as old as the report.
   std::uint32_t fromReader = 0;
   /// The sidecar's concurrency limit; 0 while unknown.
   std::uint32_t limit = 0;
   /// Estimated tokens of the queued requests.
   std::uint64_t queuedTokens = 0;
-  /// Recent median from arrival to first token.
+  /// Recent median time from arrival to the first token.
   std::uint32_t firstTokenMicros = 0;
-  /// Recent median of one engine step; 0 while unknown.
+  /// Recent median duration of one engine step; 0 while unknown.
   std::uint32_t stepMicros = 0;
   /// Queued requests by tier; missing tiers are empty.
   std::vector<std::uint32_t> queuedByTier;
@@ -33,8 +33,8 @@
   bool operator==(const LoadReport&) const = default;
 };
 
-/// How long the queue takes to drain, each slot giving one token a step; the
-/// least that a refused caller should be told to wait. Zero while unknown.
+/// Estimated time until the queue is empty if each slot generates one token per
+/// step: the minimum Retry-After for a refused request. Zero while unknown.
 inline Duration
 ExpectedDrain(const LoadReport& aReport)
 {
--- a/dogwoodvale/src/Routing/PrefixIndex.cpp
+++ b/dogwoodvale/src/Routing/PrefixIndex.cpp
@@ -16,7 +16,7 @@
                       TimePoint aNow)
 {
   if (aPrefix != 0) {
-    this->Note(aPrefix, { aServer, aNow, 0 });
+    this->AddHolder(aPrefix, { aServer, aNow, 0 });
   }
 }
 
@@ -26,9 +26,9 @@
                       std::span<const PrefixHash> aPrefixes,
                       TimePoint aNow)
 {
-  const std::uint64_t generation = this->NoteSequence(aServer, aSequence);
+  const std::uint64_t generation = this->RecordSequence(aServer, aSequence);
   for (const PrefixHash prefix : aPrefixes) {
-    this->Note(prefix, { aServer, aNow, generation });
+    this->AddHolder(prefix, { aServer, aNow, generation });
   }
 }
 
@@ -37,16 +37,16 @@
                        std::uint64_t aSequence,
                        std::span<const PrefixHash> aPrefixes)
 {
-  this->NoteSequence(aServer, aSequence);
+  this->RecordSequence(aServer, aSequence);
   for (const PrefixHash prefix : aPrefixes) {
-    this->Drop(prefix, aServer);
+    this->RemoveHolder(prefix, aServer);
   }
 }
 
 void
 PrefixIndex::Forget(const InstanceName& aServer)
 {
-  this->events.erase(aServer);
+  this->eventStates.erase(aServer);
   for (auto& [prefix, known] : this->prefixes) {
     std::erase_if(known.holders, [&](const PrefixHolder& aHolder) {
       return aHolder.server == aServer;
@@ -67,8 +67,8 @@
 PrefixConfidence
 PrefixIndex::ConfidenceIn(const PrefixHolder& aHolder) const
 {
-  const auto known = this->events.find(aHolder.server);
-  const bool isReported = known != this->events.end() &&
+  const auto known = this->eventStates.find(aHolder.server);
+  const bool isReported = known != this->eventStates.end() &&
                           aHolder.generation == known->second.generation;
   return isReported ? PrefixConfidence::Reported : PrefixConfidence::Likely;
 }
@@ -76,15 +76,14 @@
 bool
 PrefixIndex::IsCurrent(const PrefixHolder& aHolder, TimePoint aNow) const
 {
-  const Duration life =
-    this->ConfidenceIn(aHolder) == PrefixConfidence::Reported
-      ? this->settings.reportedLife
-      : this->settings.likelyLife;
-  return Between(aHolder.seen, aNow) <= life;
+  const Duration ttl = this->ConfidenceIn(aHolder) == PrefixConfidence::Reported
+                         ? this->settings.reportedTtl
+                         : this->settings.likelyTtl;
+  return Between(aHolder.seen, aNow) <= ttl;
 }
 
 void
-PrefixIndex::Note(PrefixHash aPrefix, PrefixHolder aHolder)
+PrefixIndex::AddHolder(PrefixHash aPrefix, PrefixHolder aHolder)
 {
   std::vector<PrefixHolder>& holders = this->FindOrAdd(aPrefix).holders;
   const auto same =
@@ -108,21 +107,22 @@
 }
 
 std::uint64_t
-PrefixIndex::NoteSequence(const InstanceName& aServer, std::uint64_t aSequence)
+PrefixIndex::RecordSequence(const InstanceName& aServer,
+                            std::uint64_t aSequence)
 {
-  Events& known = this->events[aServer];
+  EventState& known = this->eventStates[aServer];
   const bool hasGap = known.sequence != 0 && aSequence > known.sequence + 1;
   known.sequence = std::max(known.sequence, aSequence);
   if (hasGap) {
-    // A lost event may have been an eviction: what the server reported before
-    // is a guess from now on, and lapses as soon as one.
+    // A lost event may have been an eviction: prefixes reported before it now
+    // count as PrefixConfidence::Likely and have its shorter time to live.
     ++known.generation;
   }
   return known.generation;
 }
 
 void
-PrefixIndex::Drop(PrefixHash aPrefix, const InstanceName& aServer)
+PrefixIndex::RemoveHolder(PrefixHash aPrefix, const InstanceName& aServer)
 {
   const auto found = this->prefixes.find(aPrefix);
   if (found == this->prefixes.end()) {
@@ -132,26 +132,27 @@
     return aHolder.server == aServer;
   });
   if (found->second.holders.empty()) {
-    this->ages.erase(found->second.age);
+    this->lruOrder.erase(found->second.lruPosition);
     this->prefixes.erase(found);
   }
 }
 
-PrefixIndex::Known&
+PrefixIndex::PrefixEntry&
 PrefixIndex::FindOrAdd(PrefixHash aPrefix)
 {
   const auto found = this->prefixes.find(aPrefix);
   if (found != this->prefixes.end()) {
-    this->ages.splice(this->ages.end(), this->ages, found->second.age);
+    this->lruOrder.splice(
+      this->lruOrder.end(), this->lruOrder, found->second.lruPosition);
     return found->second;
   }
   if (this->prefixes.size() >= this->settings.maxPrefixes) {
-    this->prefixes.erase(this->ages.front());
-    this->ages.pop_front();
+    this->prefixes.erase(this->lruOrder.front());
+    this->lruOrder.pop_front();
   }
-  this->ages.push_back(aPrefix);
-  Known& added = this->prefixes[aPrefix];
-  added.age = std::prev(this->ages.end());
+  this->lruOrder.push_back(aPrefix);
+  PrefixEntry& added = this->prefixes[aPrefix];
+  added.lruPosition = std::prev(this->lruOrder.end());
   return added;
 }
 
--- a/dogwoodvale/src/Routing/PrefixIndex.h
+++ b/dogwoodvale/src/Routing/PrefixIndex.h
@@ -13,52 +13,58 @@
 
 namespace dogwoodvale {
 
-/// Hash of the part of a prompt that requests have in common; 0 means none.
+/// Hash of a prompt prefix that several requests share; 0 means none.
 using PrefixHash = std::uint64_t;
 
-/// How far a hint can be trusted.
+/// Reliability of a hint.
 enum class PrefixConfidence : std::uint8_t
 {
-  /// Sent there by this entry, or its cache event came before a gap.
+  /// This entry sent the prefix there, or the server reported it before a gap
+  /// in its cache events.
   Likely,
-  /// Told by the server's cache events with no gap since.
+  /// Reported by the server's cache events, without a gap since.
   Reported,
 };
 
-/// A server that probably holds a prefix in its cache.
+/// A server that probably has a prefix cached.
 struct PrefixHolder
 {
   InstanceName server;
+  /// When the hint was last confirmed.
   TimePoint seen{};
-  /// The server's generation that reported it; 0 if none did.
+  /// The server's event generation in which the prefix was reported; 0 if it
+  /// was not reported.
   std::uint64_t generation = 0;
 };
 
-/// Bounds of a PrefixIndex.
+/// Limits of a PrefixIndex.
 struct PrefixIndexSettings
 {
   std::size_t maxPrefixes = 4096;
   std::size_t maxHoldersPerPrefix = 4;
-  /// A hint that nothing has confirmed for this long is not given any more.
-  Duration likelyLife = seconds(120);
-  Duration reportedLife = seconds(600);
+  /// How long hints stay valid after their last confirmation.
+  Duration likelyTtl = seconds(120);
+  Duration reportedTtl = seconds(600);
 };
 
-/// Which servers may hold which prefix, learned from cache events, which come
-/// late and with gaps, and from what this entry sent where. A hint only: a
-/// wrong one costs a prefill, never an answer.
+/// Maps prompt prefixes to the servers that may have them cached. It learns
+/// from the servers' cache events, which may be delayed or lost, and from where
+/// this entry sent requests. The results are hints: a wrong one costs a prefill
+/// but does not make a request fail. A full index evicts the least recently
+/// updated prefix.
 class PrefixIndex
 {
 public:
   explicit PrefixIndex(PrefixIndexSettings aSettings = {});
 
-  /// This entry sent a request with the prefix to \p aServer.
+  /// Records that this entry sent a request with the prefix to \p aServer.
   void OnRouted(PrefixHash aPrefix,
                 const InstanceName& aServer,
                 TimePoint aNow);
 
-  /// Cache events of a server. \p aSequence counts its events from 1; a jump
-  /// means that events were lost, and lowers what is known of the server.
+  /// Handle cache events of a server.
+  /// \param aSequence number of the event, from 1. A gap means that events were
+  /// lost; prefixes reported before it become PrefixConfidence::Likely.
   void OnStored(const InstanceName& aServer,
                 std::uint64_t aSequence,
                 std::span<const PrefixHash> aPrefixes,
@@ -67,48 +73,49 @@
                  std::uint64_t aSequence,
                  std::span<const PrefixHash> aPrefixes);
 
-  /// The server restarted or left: it holds nothing.
+  /// Removes all hints for a server that restarted or was removed.
   void Forget(const InstanceName& aServer);
 
-  /// Servers that may hold the prefix, most trusted first. Valid until the next
-  /// call that is not const.
+  /// Servers that may have the prefix cached, the most reliable first. Valid
+  /// until the next non-const call.
   std::span<const PrefixHolder> Find(PrefixHash aPrefix) const;
 
   PrefixConfidence ConfidenceIn(const PrefixHolder& aHolder) const;
 
-  /// Whether a holder's hint still counts at \p aNow.
+  /// Whether the hint's time to live has not expired at \p aNow.
   bool IsCurrent(const PrefixHolder& aHolder, TimePoint aNow) const;
 
   std::size_t PrefixCount() const { return this->prefixes.size(); }
 
 private:
-  struct Known
+  struct PrefixEntry
   {
     std::vector<PrefixHolder> holders;
-    std::list<PrefixHash>::iterator age;
+    std::list<PrefixHash>::iterator lruPosition;
   };
 
-  /// What is known of a server's cache events.
-  struct Events
+  /// Progress of a server's cache events.
+  struct EventState
   {
+    /// Highest sequence number seen; 0 before the first event.
     std::uint64_t sequence = 0;
-    /// Rises with each gap, so that a gap costs the same however many prefixes
-    /// the server has reported.
+    /// Incremented at each gap, so that handling a gap takes constant time,
+    /// however many prefixes the server has reported.
     std::uint64_t generation = 1;
   };
 
-  void Note(PrefixHash aPrefix, PrefixHolder aHolder);
-  /// \return the server's generation.
-  std::uint64_t NoteSequence(const InstanceName& aServer,
-                             std::uint64_t aSequence);
-  void Drop(PrefixHash aPrefix, const InstanceName& aServer);
-  Known& FindOrAdd(PrefixHash aPrefix);
+  void AddHolder(PrefixHash aPrefix, PrefixHolder aHolder);
+  /// \return the server's current event generation.
+  std::uint64_t RecordSequence(const InstanceName& aServer,
+                               std::uint64_t aSequence);
+  void RemoveHolder(PrefixHash aPrefix, const InstanceName& aServer);
+  PrefixEntry& FindOrAdd(PrefixHash aPrefix);
 
   PrefixIndexSettings settings;
-  absl::flat_hash_map<PrefixHash, Known> prefixes;
-  /// Least recently noted first.
-  std::list<PrefixHash> ages;
-  absl::flat_hash_map<InstanceName, Events> events;
+  absl::flat_hash_map<PrefixHash, PrefixEntry> prefixes;
+  /// Prefixes, the least recently updated first.
+  std::list<PrefixHash> lruOrder;
+  absl::flat_hash_map<InstanceName, EventState> eventStates;
 };
 
 } // namespace dogwoodvale
--- a/dogwoodvale/src/Routing/RandomChooser.h
+++ b/dogwoodvale/src/Routing/RandomChooser.h
@@ -5,7 +5,8 @@
 
 namespace dogwoodvale {
 
-/// Draws a server at random, whatever its load. For comparison.
+/// Picks a usable server at random, whatever its load; a baseline for
+/// benchmarks.
 class RandomChooser final : public BackendChooser
 {
 public:
--- a/dogwoodvale/src/Routing/RetryBudget.cpp
+++ b/dogwoodvale/src/Routing/RetryBudget.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-constexpr Duration kFirstBackoff = milliseconds(10);
-constexpr Duration kLongestBackoff = milliseconds(640);
-constexpr std::uint32_t kMostDoublings = 6;
+constexpr Duration kInitialBackoff = milliseconds(10);
+constexpr Duration kMaxBackoff = milliseconds(640);
+constexpr std::uint32_t kMaxDoublings = 6;
 
 } // namespace
 
@@ -34,9 +34,9 @@
 RetryBackoff(std::uint32_t aAttempt, std::mt19937_64& aRandom)
 {
   const std::uint32_t doublings =
-    std::min(std::max(aAttempt, 1U) - 1, kMostDoublings);
+    std::min(std::max(aAttempt, 1U) - 1, kMaxDoublings);
   const Duration bound =
-    std::min(kFirstBackoff * (1U << doublings), kLongestBackoff);
+    std::min(kInitialBackoff * (1U << doublings), kMaxBackoff);
   std::uniform_int_distribution<Duration::rep> wait(0, bound.count());
   return Duration{ wait(aRandom) };
 }
--- a/dogwoodvale/src/Routing/RetryBudget.h
+++ b/dogwoodvale/src/Routing/RetryBudget.h
@@ -9,25 +9,27 @@
 
 namespace dogwoodvale {
 
-/// Bounds of a RetryBudget.
+/// Parameters of a RetryBudget.
 struct RetryBudgetSettings
 {
-  /// Retries earned by each success.
+  /// Retries added to the budget by each success.
   double perSuccess = 0.08;
-  /// Retries a second that need no success, so that a quiet class has some.
+  /// Retries per second added regardless of successes, so that a class with
+  /// little traffic has some.
   double floorPerSecond = 0.02;
-  /// The most retries saved up.
+  /// Maximum number of retries in the budget.
   double burst = 10.0;
-  /// Saved up before the first success.
+  /// Retries in the budget at the start.
   double initial = 2.0;
 };
 
-/// Bounds the retries of one class.
+/// Retry budget of one class of requests.
 ///
-/// Without it every failure becomes several requests, so that an overload feeds
-/// itself. Since retries are earned by successes, a service that fails
-/// altogether gets no more than the floor and what was saved up: at most
-/// initial + perSuccess * successes + floorPerSecond * seconds, ever.
+/// Without a budget each failure turns into several requests, which makes an
+/// overload worse. The budget grows with successes, so a service that fails
+/// completely gets only the floor and the saved budget. The total number of
+/// retries is at most
+/// initial + perSuccess * successes + floorPerSecond * seconds.
 class RetryBudget
 {
 public:
@@ -35,11 +37,13 @@
 
   void OnSuccess();
 
-  /// Takes one retry, or gives false: the failure is final.
-  /// \param aCost less than 1 for a second hop after an early refusal, which
-  /// costs the engines nothing.
+  /// Takes a retry from the budget.
+  /// \param aCost cost in retries; less than 1 for an attempt after an early
+  /// refusal, which costs the engines nothing.
+  /// \return false if the budget is too low; the request must not be retried.
   bool TryTake(TimePoint aNow, double aCost = 1.0);
 
+  /// Retries in the budget at \p aNow.
   double Available(TimePoint aNow) { return this->bucket.Available(aNow); }
 
 private:
@@ -47,9 +51,9 @@
   TokenBucket bucket;
 };
 
-/// How long to wait before retry number \p aAttempt (from 1): random between
-/// nothing and a bound that doubles ("full jitter"), so that requests which
-/// failed together do not come back together.
+/// Back-off before retry number \p aAttempt (from 1): uniformly random between
+/// zero and a bound that doubles from 10 ms to 640 ms ("full jitter"), so that
+/// requests that failed together are not retried together.
 Duration
 RetryBackoff(std::uint32_t aAttempt, std::mt19937_64& aRandom);
 
--- a/dogwoodvale/src/Routing/RetryWindow.cpp
+++ b/dogwoodvale/src/Routing/RetryWindow.cpp
@@ -13,7 +13,7 @@
 RetryWindow::SetSettings(const RetryWindowSettings& aSettings)
 {
   if (aSettings.window != this->settings.window) {
-    this->parts.fill(Part{});
+    this->slices.fill(Slice{});
   }
   this->settings = aSettings;
 }
@@ -25,54 +25,54 @@
 }
 
 std::int64_t
-RetryWindow::NumberAt(TimePoint aNow) const
+RetryWindow::SliceNumberAt(TimePoint aNow) const
 {
   const Duration length =
-    std::max(this->settings.window / std::int64_t(kParts), Duration(1));
+    std::max(this->settings.window / std::int64_t(kSlices), Duration(1));
   return Between(TimePoint{}, aNow) / length;
 }
 
-RetryWindow::Part&
-RetryWindow::PartAt(TimePoint aNow)
+RetryWindow::Slice&
+RetryWindow::SliceAt(TimePoint aNow)
 {
-  const std::int64_t number = this->NumberAt(aNow);
-  Part& part = this->parts[static_cast<std::size_t>(number) % (kParts + 1)];
-  if (part.number != number) {
-    part = Part{ number, 0, 0 };
+  const std::int64_t number = this->SliceNumberAt(aNow);
+  Slice& slice = this->slices[static_cast<std::size_t>(number) % (kSlices + 1)];
+  if (slice.number != number) {
+    slice = Slice{ number, 0, 0 };
   }
-  return part;
+  return slice;
 }
 
 void
 RetryWindow::OnRequest(TimePoint aNow)
 {
-  ++this->PartAt(aNow).requests;
+  ++this->SliceAt(aNow).requests;
 }
 
 double
-RetryWindow::Allowed(TimePoint aNow) const
+RetryWindow::AllowedRetries(TimePoint aNow) const
 {
-  const std::int64_t now = this->NumberAt(aNow);
+  const std::int64_t now = this->SliceNumberAt(aNow);
   double requests = 0;
-  for (const Part& part : this->parts) {
-    const bool isInside =
-      part.number > now - std::int64_t(kParts) && part.number <= now;
-    requests += isInside ? part.requests : 0;
+  for (const Slice& slice : this->slices) {
+    const bool isInsideWindow =
+      slice.number > now - std::int64_t(kSlices) && slice.number <= now;
+    requests += isInsideWindow ? slice.requests : 0;
   }
-  return kUsedShare *
+  return kSafetyFactor *
          (this->settings.ratio * requests +
           this->settings.extra / static_cast<double>(this->gateways));
 }
 
 double
-RetryWindow::Taken(TimePoint aNow) const
+RetryWindow::CountRetries(TimePoint aNow) const
 {
-  const std::int64_t now = this->NumberAt(aNow);
+  const std::int64_t now = this->SliceNumberAt(aNow);
   double retries = 0;
-  for (const Part& part : this->parts) {
-    const bool touches =
-      part.number >= now - std::int64_t(kParts) && part.number <= now;
-    retries += touches ? part.retries : 0;
+  for (const Slice& slice : this->slices) {
+    const bool overlapsWindow =
+      slice.number >= now - std::int64_t(kSlices) && slice.number <= now;
+    retries += overlapsWindow ? slice.retries : 0;
   }
   return retries;
 }
@@ -80,7 +80,7 @@
 bool
 RetryWindow::HasRoom(TimePoint aNow)
 {
-  return this->Taken(aNow) + 1 <= this->Allowed(aNow);
+  return this->CountRetries(aNow) + 1 <= this->AllowedRetries(aNow);
 }
 
 bool
@@ -89,7 +89,7 @@
   if (!this->HasRoom(aNow)) {
     return false;
   }
-  ++this->PartAt(aNow).retries;
+  ++this->SliceAt(aNow).retries;
   return true;
 }
 
--- a/dogwoodvale/src/Routing/RetryWindow.h
+++ b/dogwoodvale/src/Routing/RetryWindow.h
@@ -8,64 +8,69 @@
 
 namespace dogwoodvale {
 
-/// Bounds of a RetryWindow.
+/// Parameters of a RetryWindow.
 struct RetryWindowSettings
 {
-  /// Any span of this length counts.
+  /// Length of the sliding window in which retries are bounded.
   Duration window = seconds(10);
-  /// Retries allowed in it for each request in it.
+  /// Retries allowed per request in the window.
   double ratio = 0.1;
-  /// Retries allowed besides, over all gateways together.
+  /// Retries allowed per window in addition, for all gateways together.
   double extra = 10;
 };
 
-/// Bounds the retries that one gateway adds to one service, so that the sum
-/// over all gateways keeps a bound over every span of time.
+/// Limits the retries of one gateway to one service such that the retries of
+/// all gateways together stay within `ratio * requests + extra` in every
+/// window.
 ///
-/// Shares by requests add up by themselves: each gateway spends on its own
-/// requests only. The fixed extra is divided by the number of gateways. A token
-/// bucket would not do: it can spend what it saved on top of a window's income.
+/// The part by ratio adds up without coordination, since each gateway counts
+/// its own requests only. The fixed part is divided by the number of gateways.
+/// A token bucket can't keep this bound: it may spend saved tokens on top of
+/// those earned within the window.
 class RetryWindow
 {
 public:
   explicit RetryWindow(RetryWindowSettings aSettings = {});
 
   void SetSettings(const RetryWindowSettings& aSettings);
-  /// \param aCount gateways that share the extra, this one included.
+  /// \param aCount gateways among which `extra` is divided, including this one.
   void SetGateways(std::size_t aCount);
 
-  /// A caller's request for the service, whether it is sent on or not.
+  /// Counts a caller's request to the service, whether or not it is forwarded.
   void OnRequest(TimePoint aNow);
-  /// Takes one retry, or gives false: none is left.
+  /// Counts one retry if the limit allows it.
+  /// \return false if it does not.
   bool TryTake(TimePoint aNow);
-  /// Whether TryTake() would give true.
+  /// Whether TryTake() would return true.
   bool HasRoom(TimePoint aNow);
 
 private:
-  /// Part of the bound that is used. Each gateway keeps it at the moments of
-  /// its own retries; in windows that end at another's, some of the requests
-  /// that earned them have dropped out.
-  static constexpr double kUsedShare = 0.8;
-  /// Parts of a window that are counted apart. Requests are counted over the
-  /// whole parts that lie inside the window and retries over those that touch
-  /// it, so that the error of one part is always on the safe side.
-  static constexpr std::size_t kParts = 20;
+  /// Share of the bound that this gateway uses. It checks the bound at its own
+  /// retries only. In a window that ends at another gateway's retry, some of
+  /// the requests that allowed these retries are no longer inside.
+  static constexpr double kSafetyFactor = 0.8;
+  /// Number of slices of a window with a counter each. Requests are counted in
+  /// the slices that lie wholly inside the window, retries in all that overlap
+  /// it, so that the rounding to slices always errs on the strict side.
+  static constexpr std::size_t kSlices = 20;
 
-  struct Part
+  struct Slice
   {
+    /// Index of the slice since the clock's epoch; -1 if unused.
     std::int64_t number = -1;
     std::uint32_t requests = 0;
     std::uint32_t retries = 0;
   };
 
-  Part& PartAt(TimePoint aNow);
-  std::int64_t NumberAt(TimePoint aNow) const;
-  double Allowed(TimePoint aNow) const;
-  double Taken(TimePoint aNow) const;
+  /// The current slice, reset if it was last used for an earlier one.
+  Slice& SliceAt(TimePoint aNow);
+  std::int64_t SliceNumberAt(TimePoint aNow) const;
+  double AllowedRetries(TimePoint aNow) const;
+  double CountRetries(TimePoint aNow) const;
 
   RetryWindowSettings settings;
   std::size_t gateways = 1;
-  std::array<Part, kParts + 1> parts{};
+  std::array<Slice, kSlices + 1> slices{};
 };
 
 } // namespace dogwoodvale
--- a/dogwoodvale/src/Routing/RoundRobinChooser.h
+++ b/dogwoodvale/src/Routing/RoundRobinChooser.h
@@ -5,7 +5,8 @@
 
 namespace dogwoodvale {
 
-/// Takes the servers in turn, whatever their load. For comparison.
+/// Picks the usable servers in turn, whatever their load; a baseline for
+/// benchmarks.
 class RoundRobinChooser final : public BackendChooser
 {
 public:
--- a/dogwoodvale/src/Routing/Subset.cpp
+++ b/dogwoodvale/src/Routing/Subset.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-struct Scored
+struct ScoredServer
 {
   std::uint64_t score;
   const InstanceName* server;
@@ -23,7 +23,7 @@
 }
 
 bool
-ScoresHigher(const Scored& aLeft, const Scored& aRight)
+ScoresHigher(const ScoredServer& aLeft, const ScoredServer& aRight)
 {
   if (aLeft.score != aRight.score) {
     return aLeft.score > aRight.score;
@@ -39,18 +39,20 @@
              std::size_t aSize)
 {
   const std::uint64_t seed = HashName(aEntry, 0);
-  std::vector<Scored> scored;
-  scored.reserve(aServers.size());
+  std::vector<ScoredServer> scoredServers;
+  scoredServers.reserve(aServers.size());
   for (const InstanceName& server : aServers) {
-    scored.push_back({ HashName(server, seed), &server });
+    scoredServers.push_back({ HashName(server, seed), &server });
   }
-  const std::size_t size = std::min(aSize, scored.size());
-  const auto middle = scored.begin() + static_cast<std::ptrdiff_t>(size);
-  std::partial_sort(scored.begin(), middle, scored.end(), ScoresHigher);
+  const std::size_t size = std::min(aSize, scoredServers.size());
+  const auto subsetEnd =
+    scoredServers.begin() + static_cast<std::ptrdiff_t>(size);
+  std::partial_sort(
+    scoredServers.begin(), subsetEnd, scoredServers.end(), ScoresHigher);
 
   std::vector<InstanceName> subset;
   subset.reserve(size);
-  for (auto it = scored.begin(); it != middle; ++it) {
+  for (auto it = scoredServers.begin(); it != subsetEnd; ++it) {
     subset.push_back(*it->server);
   }
   return subset;
--- a/dogwoodvale/src/Routing/Subset.h
+++ b/dogwoodvale/src/Routing/Subset.h
@@ -9,12 +9,12 @@
 
 namespace dogwoodvale {
 
-/// The \p aSize servers that an entry keeps connections to, by rendezvous
-/// hashing: the same names give the same subset in whatever order they come,
-/// and a server that leaves or joins changes at most one slot.
+/// Chooses the \p aSize servers that an entry keeps connections to, by
+/// rendezvous hashing. The result doesn't depend on the order of \p aServers,
+/// and a server that leaves or joins changes at most one element.
 ///
-/// \return all of \p aServers when there are no more than \p aSize; ordered by
-/// descending hash, so the first ones are kept when \p aSize shrinks.
+/// \return the subset in descending order of hash, so that a smaller \p aSize
+/// keeps the first ones; all of \p aServers if there are at most \p aSize.
 std::vector<InstanceName>
 ChooseSubset(const InstanceName& aEntry,
              std::span<const InstanceName> aServers,
--- a/dogwoodvale/src/Routing/TokenBucket.h
+++ b/dogwoodvale/src/Routing/TokenBucket.h
@@ -7,18 +7,18 @@
 
 namespace dogwoodvale {
 
-/// Tokens that refill at a steady rate up to a bound.
+/// Token bucket that refills at a constant rate up to its burst size.
 class TokenBucket
 {
 public:
-  /// \param aRate tokens a second.
-  /// \param aBurst the most tokens held; so many at first.
+  /// \param aRate tokens per second.
+  /// \param aBurst maximum number of tokens; the bucket starts full.
   TokenBucket(double aRate, double aBurst)
     : TokenBucket(aRate, aBurst, aBurst)
   {
   }
 
-  /// \param aInitial tokens held at first.
+  /// \param aInitial number of tokens at the start.
   TokenBucket(double aRate, double aBurst, double aInitial)
     : rate(aRate)
     , burst(aBurst)
@@ -26,7 +26,8 @@
   {
   }
 
-  /// Takes \p aCount tokens, or none and gives false.
+  /// Takes \p aCount tokens.
+  /// \return false, and takes none, if there are fewer.
   bool TryTake(double aCount, TimePoint aNow)
   {
     this->Refill(aNow);
@@ -37,13 +38,13 @@
     return true;
   }
 
-  /// Adds tokens beside the steady rate, up to the bound.
+  /// Adds tokens in addition to the constant rate, up to the burst size.
   void Deposit(double aCount)
   {
     this->tokens = std::min(this->burst, this->tokens + aCount);
   }
 
-  /// How long until \p aCount tokens are there; Duration::max() if never.
+  /// Time until \p aCount tokens are available; Duration::max() if never.
   Duration UntilAvailable(double aCount, TimePoint aNow)
   {
     this->Refill(aNow);
@@ -57,6 +58,7 @@
     return Duration{ static_cast<Duration::rep>(wait * 1e6) + 1 };
   }
 
+  /// Number of tokens at \p aNow.
   double Available(TimePoint aNow)
   {
     this->Refill(aNow);
@@ -66,17 +68,19 @@
 private:
   void Refill(TimePoint aNow)
   {
-    if (this->refilled != TimePoint{} && aNow > this->refilled) {
-      const std::chrono::duration<double> passed = aNow - this->refilled;
+    if (this->refilledAt != TimePoint{} && aNow > this->refilledAt) {
+      const std::chrono::duration<double> passed = aNow - this->refilledAt;
       this->Deposit(passed.count() * this->rate);
     }
-    this->refilled = std::max(this->refilled, aNow);
+    this->refilledAt = std::max(this->refilledAt, aNow);
   }
 
   double rate;
   double burst;
   double tokens;
-  TimePoint refilled{};
+  /// Time of the last refill; TimePoint{} before the first use, from which on
+  /// the bucket refills.
+  TimePoint refilledAt{};
 };
 
 } // namespace dogwoodvale
--- a/test/RateModel.cpp
+++ b/test/RateModel.cpp
@@ -13,17 +13,17 @@
 constexpr Duration kSettle = seconds(3);
 constexpr Duration kStep = milliseconds(20);
 constexpr Duration kWindow = seconds(4);
-constexpr Duration kKnown = milliseconds(500);
-constexpr Duration kAnswerTakes = milliseconds(30);
-constexpr Duration kTravel = milliseconds(20);
-constexpr double kLossShare = 0.05;
+constexpr Duration kGracePeriod = milliseconds(500);
+constexpr Duration kResponseTime = milliseconds(30);
+constexpr Duration kNetworkDelay = milliseconds(20);
+constexpr double kLossProbability = 0.05;
 const TimePoint kStart = TimePoint{} + seconds(100);
 
-/// What one gateway may send to servers that name a rate.
-class RateGate
+/// One gateway's limiter for servers with a rate limit.
+class RateLimiter
 {
 public:
-  virtual ~RateGate() = default;
+  virtual ~RateLimiter() = default;
   virtual bool MaySend(const InstanceName& aServer,
                        std::size_t aCells,
                        TimePoint aNow) = 0;
@@ -37,8 +37,8 @@
   virtual void Hear(const RateNews& aNews, TimePoint aNow) = 0;
 };
 
-/// The product's: few gateways hold parts.
-class FewHolders final : public RateGate
+/// The limiter in use: few gateways hold shares of a server's rate.
+class FewHolders final : public RateLimiter
 {
 public:
   FewHolders(const InstanceName& aSelf, std::span<const InstanceName> aFleet)
@@ -77,11 +77,11 @@
   ServerRates rates;
 };
 
-/// The other way: every gateway has the same part and saves up one request.
-class EqualParts final : public RateGate
+/// The alternative: every gateway has an equal share and saves up one request.
+class EqualShares final : public RateLimiter
 {
 public:
-  EqualParts(std::size_t aGateways, std::size_t aInCell)
+  EqualShares(std::size_t aGateways, std::size_t aInCell)
     : gateways(aGateways)
     , inCell(aInCell)
   {
@@ -106,11 +106,11 @@
                 double aPerSecond,
                 TimePoint aNow) override
   {
-    const double part =
+    const double share =
       aPerSecond / static_cast<double>(std::min(this->gateways, this->inCell));
-    const auto [place, isNew] =
-      this->buckets.try_emplace(aServer, 0.95 * part, 1.0, 0.0);
-    place->second.Available(aNow);
+    const auto [position, isNew] =
+      this->buckets.try_emplace(aServer, 0.95 * share, 1.0, 0.0);
+    position->second.Available(aNow);
     if (isNew) {
       this->known.push_back({ aServer, aPerSecond, milliseconds(0) });
     }
@@ -135,7 +135,7 @@
 {
   std::size_t gateways = 4;
   std::size_t servers = 12;
-  /// That each server names.
+  /// Limit that each server states, in requests per second.
   double rate = 2.3;
   bool hasFewHolders = true;
   std::uint64_t seed = 1;
@@ -143,63 +143,67 @@
 
 struct Outcome
 {
-  /// The most that a server got in a window over what it may get.
+  /// Maximum over all servers and windows of the requests received over those
+  /// allowed.
   double worst = 0;
-  /// Part of the rates that was used under load.
+  /// Share of the servers' rates that was used under load.
   double used = 0;
+  /// Mean bytes of rate updates per digest.
   double digestBytes = 0;
 };
 
-/// All servers name a rate from the start; callers ask for twice of that, then
-/// for nothing, then for it again, each gateway for a part of its own.
-class Play
+/// All servers state a rate limit from the start. Callers send twice that rate,
+/// then nothing, then twice the rate again, unevenly spread over the gateways.
+class Simulation
 {
 public:
-  explicit Play(const Fleet& aFleet)
+  explicit Simulation(const Fleet& aFleet)
     : fleet(aFleet)
     , random(aFleet.seed)
     , cells(CellCount(aFleet.gateways, 1))
   {
     constexpr std::size_t kLeastServersPerCell = 16;
     if (aFleet.servers < kLeastServersPerCell * this->cells) {
-      this->split = 1;
+      this->serviceCells = 1;
     } else {
-      this->split = this->cells;
+      this->serviceCells = this->cells;
     }
     for (std::size_t i = 0; i < aFleet.gateways; ++i) {
-      this->names.emplace_back(fmt::format("edge-{}", i));
+      this->gatewayNames.emplace_back(fmt::format("edge-{}", i));
     }
     for (std::size_t i = 0; i < aFleet.servers; ++i) {
       this->servers.emplace_back(fmt::format("server-{}", i));
-      this->serverCells.push_back(CellOf(this->servers.back(), this->split));
+      this->serverCells.push_back(
+        CellOf(this->servers.back(), this->serviceCells));
     }
     this->arrivals.resize(aFleet.servers);
     this->sent.resize(aFleet.servers);
-    this->toldAt.resize(aFleet.gateways * aFleet.servers);
+    this->learntAt.resize(aFleet.gateways * aFleet.servers);
     std::uniform_real_distribution<double> uneven(0.3, 1.7);
-    for (const InstanceName& name : this->names) {
+    for (const InstanceName& name : this->gatewayNames) {
       const std::size_t cell = CellOf(name, this->cells);
-      const auto inCell =
-        std::ranges::count_if(this->names, [&](const InstanceName& aOther) {
+      const auto inCell = std::ranges::count_if(
+        this->gatewayNames, [&](const InstanceName& aOther) {
           return CellOf(aOther, this->cells) == cell;
         });
       if (aFleet.hasFewHolders) {
-        this->gates.push_back(std::make_unique<FewHolders>(name, this->names));
+        this->limiters.push_back(
+          std::make_unique<FewHolders>(name, this->gatewayNames));
       } else {
-        this->gates.push_back(std::make_unique<EqualParts>(
+        this->limiters.push_back(std::make_unique<EqualShares>(
           aFleet.gateways,
-          this->split > 1 ? static_cast<std::size_t>(inCell)
-                          : aFleet.gateways));
+          this->serviceCells > 1 ? static_cast<std::size_t>(inCell)
+                                 : aFleet.gateways));
       }
       this->weights.push_back(uneven(this->random));
-      this->cellOf.push_back(cell);
+      this->gatewayCells.push_back(cell);
       std::vector<std::size_t> reachable;
       for (std::size_t i = 0; i < this->servers.size(); ++i) {
-        if (this->CanUse(this->reach.size(), i)) {
+        if (this->CanUse(this->reachableServers.size(), i)) {
           reachable.push_back(i);
         }
       }
-      this->reach.push_back(std::move(reachable));
+      this->reachableServers.push_back(std::move(reachable));
     }
   }
 
@@ -220,12 +224,13 @@
     const double seconds = std::chrono::duration<double>(kLoaded).count();
     outcome.used = used / (seconds * this->fleet.rate *
                            static_cast<double>(this->fleet.servers));
-    outcome.digestBytes = this->newsBytes / static_cast<double>(this->digests);
+    outcome.digestBytes =
+      this->updateBytes / static_cast<double>(this->digests);
     return outcome;
   }
 
 private:
-  struct Answer
+  struct Response
   {
     TimePoint at{};
     std::size_t gateway = 0;
@@ -235,7 +240,7 @@
   {
     TimePoint at{};
     std::size_t to = 0;
-    std::shared_ptr<const std::vector<RateNews>> news;
+    std::shared_ptr<const std::vector<RateNews>> updates;
   };
 
   double Worst(std::span<const TimePoint> aArrivals) const
@@ -259,41 +264,42 @@
     for (; this->now < end; this->now += kStep) {
       this->Deliver();
       this->Send(aLoad);
-      this->TellOthers();
+      this->SendDigests();
     }
   }
 
   void Deliver()
   {
-    while (!this->answers.empty() && this->answers.front().at <= this->now) {
-      const Answer answer = this->answers.front();
-      this->answers.pop_front();
-      this->gates[answer.gateway]->OnAnswer(
-        this->servers[answer.server], this->fleet.rate, this->now);
-      this->NoteTold(answer.gateway, answer.server);
+    while (!this->responses.empty() &&
+           this->responses.front().at <= this->now) {
+      const Response response = this->responses.front();
+      this->responses.pop_front();
+      this->limiters[response.gateway]->OnAnswer(
+        this->servers[response.server], this->fleet.rate, this->now);
+      this->RecordLearnt(response.gateway, response.server);
     }
-    while (!this->underWay.empty() && this->underWay.front().at <= this->now) {
-      const Digest digest = std::move(this->underWay.front());
-      this->underWay.pop_front();
-      for (const RateNews& news : *digest.news) {
-        const std::size_t number = NumberOf(news.server);
+    while (!this->inFlight.empty() && this->inFlight.front().at <= this->now) {
+      const Digest digest = std::move(this->inFlight.front());
+      this->inFlight.pop_front();
+      for (const RateNews& update : *digest.updates) {
+        const std::size_t number = NumberOf(update.server);
         if (this->CanUse(digest.to, number)) {
-          this->gates[digest.to]->Hear(news, this->now);
-          this->NoteTold(digest.to, number);
+          this->limiters[digest.to]->Hear(update, this->now);
+          this->RecordLearnt(digest.to, number);
         }
       }
     }
   }
 
-  TimePoint& ToldAt(std::size_t aGateway, std::size_t aServer)
+  TimePoint& LearntAt(std::size_t aGateway, std::size_t aServer)
   {
-    return this->toldAt[aGateway * this->fleet.servers + aServer];
+    return this->learntAt[aGateway * this->fleet.servers + aServer];
   }
 
-  void NoteTold(std::size_t aGateway, std::size_t aServer)
+  void RecordLearnt(std::size_t aGateway, std::size_t aServer)
   {
-    TimePoint& told = this->ToldAt(aGateway, aServer);
-    told = told == TimePoint{} ? this->now : told;
+    TimePoint& learnt = this->LearntAt(aGateway, aServer);
+    learnt = learnt == TimePoint{} ? this->now : learnt;
   }
 
   static std::size_t NumberOf(const InstanceName& aServer)
@@ -304,8 +310,8 @@
 
   bool CanUse(std::size_t aGateway, std::size_t aServer) const
   {
-    return this->serverCells[aServer] == this->cellOf[aGateway] ||
-           this->split == 1;
+    return this->serverCells[aServer] == this->gatewayCells[aGateway] ||
+           this->serviceCells == 1;
   }
 
   void Send(double aLoad)
@@ -313,7 +319,7 @@
     const double step = std::chrono::duration<double>(kStep).count();
     const double all =
       aLoad * this->fleet.rate * static_cast<double>(this->fleet.servers);
-    for (std::size_t i = 0; i < this->gates.size(); ++i) {
+    for (std::size_t i = 0; i < this->limiters.size(); ++i) {
       const double mean = all * step * this->weights[i] /
                           static_cast<double>(this->fleet.gateways);
       if (mean <= 0) {
@@ -321,9 +327,9 @@
       }
       std::poisson_distribution<int> draw(mean);
       for (int count = draw(this->random); count > 0; --count) {
-        // A caller that is refused comes back once, at any gateway.
+        // A refused caller retries once, at a random gateway.
         if (!this->TrySend(i)) {
-          this->TrySend(this->random() % this->gates.size());
+          this->TrySend(this->random() % this->limiters.size());
         }
       }
     }
@@ -332,9 +338,9 @@
   bool TrySend(std::size_t aGateway)
   {
     std::vector<std::size_t> free;
-    for (const std::size_t server : this->reach[aGateway]) {
-      if (this->gates[aGateway]->MaySend(
-            this->servers[server], this->split, this->now)) {
+    for (const std::size_t server : this->reachableServers[aGateway]) {
+      if (this->limiters[aGateway]->MaySend(
+            this->servers[server], this->serviceCells, this->now)) {
         free.push_back(server);
       }
     }
@@ -342,46 +348,46 @@
       return false;
     }
     const std::size_t chosen = free[this->random() % free.size()];
-    this->gates[aGateway]->OnSent(
-      this->servers[chosen], this->split, this->now);
+    this->limiters[aGateway]->OnSent(
+      this->servers[chosen], this->serviceCells, this->now);
     ++this->sent[chosen];
-    // Only what a gateway sends that has had the word for a while counts.
-    const TimePoint told = this->ToldAt(aGateway, chosen);
-    if (told != TimePoint{} && this->now >= told + kKnown) {
+    // Requests count only from gateways that have known the limit for a while.
+    const TimePoint learnt = this->LearntAt(aGateway, chosen);
+    if (learnt != TimePoint{} && this->now >= learnt + kGracePeriod) {
       this->arrivals[chosen].push_back(this->now);
     }
-    this->answers.push_back({ this->now + kAnswerTakes, aGateway, chosen });
+    this->responses.push_back({ this->now + kResponseTime, aGateway, chosen });
     return true;
   }
 
-  void TellOthers()
+  void SendDigests()
   {
-    std::bernoulli_distribution isLost(kLossShare);
+    std::bernoulli_distribution isLost(kLossProbability);
     const auto inCell = this->fleet.gateways / this->cells;
     const Duration period = std::max(
       milliseconds(50), milliseconds(static_cast<int>(1000 * inCell / 200)));
-    for (std::size_t i = 0; i < this->gates.size(); ++i) {
-      // Each at a moment of its own.
+    for (std::size_t i = 0; i < this->limiters.size(); ++i) {
+      // The gateways send at different times.
       const auto steps = period / kStep;
       if ((Between(kStart, this->now) / kStep + static_cast<long>(i)) % steps !=
           0) {
         continue;
       }
-      const auto news = std::make_shared<const std::vector<RateNews>>(
-        this->gates[i]->Tell(this->now));
+      const auto updates = std::make_shared<const std::vector<RateNews>>(
+        this->limiters[i]->Tell(this->now));
       ++this->digests;
-      for (const RateNews& one : *news) {
+      for (const RateNews& update : *updates) {
         constexpr double kFixedBytes = 13;
-        this->newsBytes +=
-          kFixedBytes + static_cast<double>(one.server.Value().size());
+        this->updateBytes +=
+          kFixedBytes + static_cast<double>(update.server.Value().size());
       }
-      // One gateway of any cell beside those of its own.
-      const std::size_t elsewhere = this->random() % this->gates.size();
-      for (std::size_t to = 0; to < this->gates.size(); ++to) {
-        const bool isTold =
-          this->cellOf[to] == this->cellOf[i] || to == elsewhere;
-        if (to != i && isTold && !isLost(this->random)) {
-          this->underWay.push_back({ this->now + kTravel, to, news });
+      // To all gateways of its cell, and to one of any cell.
+      const std::size_t elsewhere = this->random() % this->limiters.size();
+      for (std::size_t to = 0; to < this->limiters.size(); ++to) {
+        const bool isRecipient =
+          this->gatewayCells[to] == this->gatewayCells[i] || to == elsewhere;
+        if (to != i && isRecipient && !isLost(this->random)) {
+          this->inFlight.push_back({ this->now + kNetworkDelay, to, updates });
         }
       }
     }
@@ -390,32 +396,33 @@
   Fleet fleet;
   std::mt19937_64 random;
   std::size_t cells;
-  /// Cells by which the servers are divided.
-  std::size_t split = 1;
-  std::vector<InstanceName> names;
+  /// Number of cells that the servers are divided into; 1 if they are shared.
+  std::size_t serviceCells = 1;
+  std::vector<InstanceName> gatewayNames;
   std::vector<InstanceName> servers;
-  std::vector<std::unique_ptr<RateGate>> gates;
+  std::vector<std::unique_ptr<RateLimiter>> limiters;
   std::vector<double> weights;
-  std::vector<std::size_t> cellOf;
+  std::vector<std::size_t> gatewayCells;
   std::vector<std::size_t> serverCells;
-  std::vector<std::vector<std::size_t>> reach;
-  /// Those that count, by server, and how many there were of all.
+  std::vector<std::vector<std::size_t>> reachableServers;
+  /// By server: the times of the requests that count, and the number of all.
   std::vector<std::vector<TimePoint>> arrivals;
   std::vector<std::size_t> sent;
-  /// When a gateway had a server's word first, from the server or another.
-  std::vector<TimePoint> toldAt;
-  std::deque<Answer> answers;
-  std::deque<Digest> underWay;
+  /// When a gateway first learnt a server's limit, from the server or another
+  /// gateway.
+  std::vector<TimePoint> learntAt;
+  std::deque<Response> responses;
+  std::deque<Digest> inFlight;
   TimePoint now = kStart;
   std::size_t digests = 0;
-  double newsBytes = 0;
+  double updateBytes = 0;
 };
 
 Outcome
-PlayFleet(Fleet aFleet, bool aHasFewHolders)
+SimulateFleet(Fleet aFleet, bool aHasFewHolders)
 {
   aFleet.hasFewHolders = aHasFewHolders;
-  const Outcome outcome = Play(aFleet).Run();
+  const Outcome outcome = Simulation(aFleet).Run();
   UNSCOPED_INFO(
     fmt::format("{}x{} at {}, {}: worst {:.2f}, used {:.2f}, {:.0f} B",
                 aFleet.gateways,
@@ -430,8 +437,7 @@
 
 } // namespace
 
-TEST_CASE("a fleet of any size keeps to the rates that servers name and uses "
-          "them",
+TEST_CASE("a fleet of any size keeps to the servers' rate limits and uses them",
           "[model]")
 {
   const auto fleet =
@@ -441,29 +447,28 @@
              Fleet{ .gateways = 30, .servers = 60, .rate = 2.3 },
              Fleet{ .gateways = 100, .servers = 160, .rate = 0.4 },
              Fleet{ .gateways = 300, .servers = 480, .rate = 0.4 });
-  const Outcome few = PlayFleet(fleet, true);
+  const Outcome few = SimulateFleet(fleet, true);
   CHECK(few.worst <= 1.0);
   CHECK(few.used >= 0.7);
 }
 
-TEST_CASE("gateways of all cells keep to the rates of a service that is not "
-          "split",
+TEST_CASE("gateways of all cells keep to the limits of a service without cells",
           "[model]")
 {
   const Outcome few =
-    PlayFleet({ .gateways = 300, .servers = 20, .rate = 4.4 }, true);
+    SimulateFleet({ .gateways = 300, .servers = 20, .rate = 4.4 }, true);
   CHECK(few.worst <= 1.0);
 }
 
-// The way not taken: each of many gateways saves up a request while it is
-// quiet, and all are sent at once; under steady load their parts are too small
-// to be of use.
-TEST_CASE("equal parts break a low rate in a large fleet", "[model]")
+// Shows why shares are not divided equally: each of many gateways saves up a
+// request while it is idle, and all of these are sent at once; under steady
+// load the shares are too small to be used.
+TEST_CASE("equal shares exceed a low rate limit in a large fleet", "[model]")
 {
   const auto fleet =
     GENERATE(Fleet{ .gateways = 4, .servers = 12, .rate = 2.3 },
              Fleet{ .gateways = 33, .servers = 53, .rate = 0.4 },
              Fleet{ .gateways = 300, .servers = 20, .rate = 4.4 });
-  const Outcome equal = PlayFleet(fleet, false);
+  const Outcome equal = SimulateFleet(fleet, false);
   CHECK((fleet.gateways == 4 || equal.worst > 1.0));
 }
--- a/test/RoutingChoice.cpp
+++ b/test/RoutingChoice.cpp
@@ -39,7 +39,7 @@
   return report;
 }
 
-/// How often each of \p aTable is chosen in 1,000 choices with nothing sent.
+/// How often each server is chosen in 1,000 choices without any request sent.
 std::map<InstanceName, int>
 CountChoices(const BackendTable& aTable,
              BackendChooser& aChooser,
@@ -56,7 +56,7 @@
 
 } // namespace
 
-TEST_CASE("Every chooser picks a usable server if there is one, and no other")
+TEST_CASE("Every policy chooses a usable server if there is one, and no other")
 {
   const auto* name = GENERATE("least_loaded",
                               "least_loaded_of_two",
@@ -101,7 +101,7 @@
   });
 }
 
-TEST_CASE("No policy is made for an unknown name")
+TEST_CASE("An unknown policy name is an error")
 {
   const auto chooser = CreateChooser("fastest");
   REQUIRE_FALSE(chooser.ok());
@@ -109,12 +109,11 @@
         "no routing policy is called \"fastest\"");
 }
 
-TEST_CASE("A report that is late does not hide the entry's own work")
+TEST_CASE("A delayed load report does not hide the entry's own requests")
 {
-  // The caller waits behind a queue that its own entry has built: a burst goes
-  // to one server, whose report, taken before the burst, arrives after it and
-  // says "empty". Own work is counted by the entry itself, so the report can't
-  // undo it.
+  // A burst goes to one server, whose report was made before the burst, arrives
+  // after it and says "idle". The entry must still count its own requests, or
+  // the next ones queue behind the burst.
   BackendTable table = MakeTable(2);
   table.OnLoadReport(ServerName(0), MakeReport(0), kStart);
   table.OnLoadReport(ServerName(1), MakeReport(0), kStart);
@@ -129,7 +128,7 @@
   CHECK(counts.contains(ServerName(1)));
 }
 
-TEST_CASE("A report does not count the entry's own work twice")
+TEST_CASE("The entry's own requests count once when a report has them too")
 {
   BackendTable table = MakeTable(2);
   for (int sent = 0; sent < 8; ++sent) {
@@ -139,10 +138,10 @@
   CHECK(table.Find(ServerName(0))->Load() == Approx(0.8));
 }
 
-TEST_CASE("A server that fell silent while swamped is not taken for empty")
+TEST_CASE("An overloaded server that stops reporting does not count as idle")
 {
-  // A swamped server stops reporting. If old news faded into "no load", every
-  // entry would send to the one server that can't answer.
+  // If an old report decayed to zero load, every entry would send to the one
+  // server that is too overloaded to report.
   BackendTable table = MakeTable(3);
   table.OnLoadReport(ServerName(0), MakeReport(100), kStart);
   const TimePoint later = kStart + seconds(60);
@@ -153,26 +152,26 @@
   CHECK_FALSE(counts.contains(ServerName(0)));
 }
 
-TEST_CASE("A queue of unknown length in tokens is not taken for free")
+TEST_CASE("A queue without a token estimate does not count as empty")
 {
-  // A sidecar that doesn't tell the tokens that wait there looked as if its
-  // queue took no time: with a slightly faster step it got all the work while
-  // its neighbours stood idle.
+  // If a queue without a token estimate counted as taking no time, a server
+  // with a slightly faster step would get all requests while the others are
+  // idle.
   BackendTable table = MakeTable(2);
   for (int sent = 0; sent < 50; ++sent) {
     table.OnSent(ServerName(0), 200, 0);
   }
-  LoadReport swamped = MakeReport(10, 50);
-  swamped.queued = 40;
-  swamped.queuedByTier = { 40 };
-  swamped.stepMicros = 2000;
-  table.OnLoadReport(ServerName(0), swamped, kStart);
+  LoadReport overloaded = MakeReport(10, 50);
+  overloaded.queued = 40;
+  overloaded.queuedByTier = { 40 };
+  overloaded.stepMicros = 2000;
+  table.OnLoadReport(ServerName(0), overloaded, kStart);
   table.OnLoadReport(ServerName(1), MakeReport(0), kStart);
   LeastLoadedChooser chooser;
   CHECK_FALSE(CountChoices(table, chooser, {}, kStart).contains(ServerName(0)));
 }
 
-TEST_CASE("The prefix's holder wins while its queue costs less than it saves")
+TEST_CASE("A cached prefix wins while its queue costs less than the prefill")
 {
   BackendTable table = MakeTable(4);
   for (std::size_t index = 0; index < 4; ++index) {
@@ -190,14 +189,15 @@
     CountChoices(table, chooser, request, kStart).contains(ServerName(2)));
 }
 
-TEST_CASE("A sidecar refuses early only with no slot free and a hop left")
+TEST_CASE(
+  "A sidecar refuses early only without a free slot and if still allowed")
 {
   CHECK(ShouldRefuseEarly(MakeReport(10), 1));
   CHECK_FALSE(ShouldRefuseEarly(MakeReport(9), 1));
   CHECK_FALSE(ShouldRefuseEarly(MakeReport(10), 0));
 }
 
-TEST_CASE("A queue drains at one token a step and slot")
+TEST_CASE("ExpectedDrain assumes one token per step and slot")
 {
   LoadReport report = MakeReport(10);
   report.queuedTokens = 5000;
@@ -205,10 +205,10 @@
   CHECK(ExpectedDrain({}) == Duration{ 0 });
 }
 
-TEST_CASE("No early refusals are allowed where all servers are full")
+TEST_CASE("No early refusals are allowed when all servers are full")
 {
-  // In an overload every sidecar refuses. Allowed hops would treble the
-  // messages and find no free slot.
+  // In an overload every sidecar would refuse: allowing two refusals would
+  // treble the messages without finding a free slot.
   BackendTable table = MakeTable(4);
   CHECK(AllowedRefusals(table) == kMaxEarlyRefusals);
   for (std::size_t index = 0; index < 4; ++index) {
@@ -219,10 +219,10 @@
   CHECK(AllowedRefusals(MakeTable(0)) == 0);
 }
 
-TEST_CASE("The table's counts survive any order of calls")
+TEST_CASE("BackendTable counts stay right for any order of calls")
 {
-  // Reports and endings come after a server has left, and twice.
-  rc::prop("in flight equals sent less ended, and the mean stays sane", [] {
+  // Reports and completions may arrive after a server was removed, or twice.
+  rc::prop("in flight equals sent minus ended; the mean is exact", [] {
     BackendTable table;
     std::map<InstanceName, std::uint32_t> inFlight;
     const auto steps = *rc::gen::container<std::vector<std::pair<int, int>>>(
--- a/test/RoutingHealth.cpp
+++ b/test/RoutingHealth.cpp
@@ -39,11 +39,10 @@
 
 } // namespace
 
-TEST_CASE("A straggler is ejected and comes back by trial, later each time")
+TEST_CASE("A straggler is ejected, then probed with exponential back-off")
 {
-  // One server's steps take five times as long; callers sent there get their
-  // tokens late. It is taken out, tried after 5 s, and while it is still slow
-  // the next trial comes after twice as long.
+  // One server's steps take five times as long as the others'. It is ejected
+  // and probed after 5 s; while it is still slow, the interval doubles.
   HealthTracker health = MakeTracker(12);
   health.OnStepTime(ServerName(3), milliseconds(30));
   for (int report = 0; report < 30; ++report) {
@@ -73,9 +72,10 @@
   CHECK(std::string_view(changes[0].reason) == "recovered");
 }
 
-TEST_CASE("A slow server stays while the others can't do without it")
+TEST_CASE("A slow server stays in service while its capacity is needed")
 {
-  // At high load the rest would queue for longer than the straggler is slow.
+  // At high load, requests would queue at the other servers for longer than the
+  // straggler delays them.
   HealthTracker health = MakeTracker(4);
   for (int report = 0; report < 30; ++report) {
     health.OnStepTime(ServerName(0), milliseconds(30));
@@ -88,7 +88,7 @@
   CHECK(health.StandingOf(ServerName(0)) == Standing::InService);
 }
 
-TEST_CASE("A crash takes a server out at once")
+TEST_CASE("A crashed server is ejected at once")
 {
   HealthTracker health = MakeTracker(3);
   health.OnCrash(ServerName(1));
@@ -96,10 +96,10 @@
   CHECK(health.StandingOf(ServerName(1)) == Standing::Ejected);
 }
 
-TEST_CASE("A whole service that slows down loses no server")
+TEST_CASE("No server is ejected when the whole service slows down")
 {
-  // In an overload every server is slow. Ejecting the slowest would put its
-  // load on the rest, and so on to the last.
+  // In an overload every server is slow. Ejecting the slowest would move its
+  // load to the others, and so eject one after another.
   HealthTracker health = MakeTracker(10);
   for (std::size_t index = 0; index < 10; ++index) {
     for (int report = 0; report < 30; ++report) {
@@ -109,10 +109,10 @@
   CHECK(health.Evaluate(kStart, 0.5).empty());
 }
 
-TEST_CASE("A high latency to the first token is no verdict on a model engine")
+TEST_CASE("A long time to first token ejects no server that reports step times")
 {
-  // It contains the wait for a slot. A healthy server that got a burst would
-  // be ejected for it.
+  // It includes the wait for a slot: a healthy server that got a burst would be
+  // ejected.
   HealthTracker health = MakeTracker(5);
   for (int sample = 0; sample < 20; ++sample) {
     for (std::size_t index = 0; index < 5; ++index) {
@@ -123,7 +123,7 @@
   CHECK(health.Evaluate(kStart, 0.5).empty());
 }
 
-TEST_CASE("A plain service, which reports no steps, is judged by its latency")
+TEST_CASE("A service without step times is judged by its latency")
 {
   HealthTracker health;
   for (std::size_t index = 0; index < 5; ++index) {
@@ -137,11 +137,11 @@
   CHECK(health.StandingOf(ServerName(0)) == Standing::Ejected);
 }
 
-TEST_CASE("Whatever is measured, the share that is out is bounded")
+TEST_CASE("The ejected share is bounded for any input")
 {
-  // A bad measure, or a failure of all, must not empty a service: no caller
-  // would be served at all.
-  rc::prop("out <= max(1, 30%) and at least one is in service", [] {
+  // A wrong measurement, or a failure of all servers, must not leave a service
+  // without servers.
+  rc::prop("unhealthy <= max(1, 30%) and one is in service", [] {
     const auto size = *rc::gen::inRange<std::size_t>(1, 25);
     HealthTracker health = MakeTracker(size);
     TimePoint now = kStart;
@@ -149,7 +149,7 @@
       *rc::gen::container<std::vector<std::pair<int, std::size_t>>>(
         rc::gen::pair(rc::gen::inRange(0, 6),
                       rc::gen::inRange<std::size_t>(0, size)));
-    std::map<InstanceName, Standing> told;
+    std::map<InstanceName, Standing> reported;
     for (const auto& [action, index] : steps) {
       const InstanceName name = ServerName(index);
       switch (action) {
@@ -172,32 +172,32 @@
           now += seconds(4);
       }
       for (const HealthChange& change : health.Evaluate(now, 0.3)) {
-        told[change.name] = change.standing;
+        reported[change.name] = change.standing;
       }
-      const auto most = std::max(1.0, 0.3 * static_cast<double>(size));
-      RC_ASSERT(static_cast<double>(health.OutCount()) <= most);
+      const auto maxUnhealthy = std::max(1.0, 0.3 * static_cast<double>(size));
+      RC_ASSERT(static_cast<double>(health.OutCount()) <= maxUnhealthy);
       RC_ASSERT(health.OutCount() < size);
-      for (const auto& [changed, standing] : told) {
-        RC_ASSERT(health.StandingOf(changed) == standing);
+      for (const auto& [changed, state] : reported) {
+        RC_ASSERT(health.StandingOf(changed) == state);
       }
     }
   });
 }
 
-TEST_CASE("An ejected server is always tried again")
+TEST_CASE("An ejected server is always probed again")
 {
   HealthTracker health = MakeTracker(5);
   TimePoint now = kStart;
-  TimePoint lastTrial = now;
+  TimePoint lastProbe = now;
   for (int second = 0; second < 3600; ++second) {
     now += seconds(1);
     Fail(health, ServerName(2), 6);
     for (const HealthChange& change : health.Evaluate(now, 0.3)) {
       if (change.standing == Standing::OnTrial) {
-        CHECK(Between(lastTrial, now) <= seconds(125));
-        lastTrial = now;
+        CHECK(Between(lastProbe, now) <= seconds(125));
+        lastProbe = now;
       }
     }
   }
-  CHECK(Between(lastTrial, now) <= seconds(125));
+  CHECK(Between(lastProbe, now) <= seconds(125));
 }
--- a/test/RoutingPrefixes.cpp
+++ b/test/RoutingPrefixes.cpp
@@ -23,7 +23,7 @@
 
 } // namespace
 
-TEST_CASE("A reported holder goes before one that is only likely")
+TEST_CASE("A holder reported by cache events comes before a likely one")
 {
   PrefixIndex index;
   index.OnStored(kOne, 1, Hashes(5), kStart);
@@ -35,10 +35,12 @@
   CHECK(index.Find(5)[0].server == kTwo);
 }
 
-TEST_CASE("A gap in a server's events lowers what was reported before it")
+TEST_CASE(
+  "A gap in a server's cache events lowers the confidence of earlier ones")
 {
-  // The lost event may have been the eviction. Were the report still trusted
-  // for ten minutes, requests would run to a server that has lost the prefix.
+  // The lost event may have been the eviction. If earlier reports kept their
+  // time to live of ten minutes, requests would go to a server without the
+  // prefix.
   PrefixIndex index;
   index.OnStored(kOne, 1, Hashes(5), kStart);
   index.OnStored(kOne, 3, Hashes(6), kStart);
@@ -48,7 +50,7 @@
   CHECK_FALSE(index.IsCurrent(index.Find(5)[0], kStart + seconds(300)));
 }
 
-TEST_CASE("A server that restarted holds nothing")
+TEST_CASE("Forget() removes all prefixes of a server that restarted")
 {
   PrefixIndex index;
   index.OnStored(kOne, 9, Hashes(5), kStart);
@@ -58,11 +60,11 @@
   CHECK(index.ConfidenceIn(index.Find(6)[0]) == PrefixConfidence::Reported);
 }
 
-TEST_CASE("Prefix hints stay within their bounds and are only what was noted")
+TEST_CASE("PrefixIndex keeps its limits and returns only recorded holders")
 {
-  rc::prop("bounded, no server twice, nothing made up", [] {
+  rc::prop("bounded, no server twice, only recorded holders", [] {
     PrefixIndex index({ .maxPrefixes = 8, .maxHoldersPerPrefix = 2 });
-    std::map<PrefixHash, std::set<InstanceName>> noted;
+    std::map<PrefixHash, std::set<InstanceName>> recorded;
     std::map<InstanceName, std::uint64_t> sequences;
     const auto steps = *rc::gen::container<std::vector<std::array<int, 3>>>(
       rc::gen::container<std::array<int, 3>>(rc::gen::inRange(0, 12)));
@@ -71,17 +73,17 @@
       const auto prefix = static_cast<PrefixHash>(hash);
       if (action < 4) {
         index.OnRouted(prefix, name, kStart);
-        noted[prefix].insert(name);
+        recorded[prefix].insert(name);
       } else if (action < 8) {
         sequences[name] += static_cast<std::uint64_t>(action - 3);
         index.OnStored(name, sequences[name], Hashes(prefix), kStart);
-        noted[prefix].insert(name);
+        recorded[prefix].insert(name);
       } else if (action < 11) {
         index.OnEvicted(name, ++sequences[name], Hashes(prefix));
-        noted[prefix].erase(name);
+        recorded[prefix].erase(name);
       } else {
         index.Forget(name);
-        for (auto& [known, holders] : noted) {
+        for (auto& [known, holders] : recorded) {
           holders.erase(name);
         }
       }
@@ -91,7 +93,7 @@
         RC_ASSERT(holders.size() <= 2U);
         std::set<InstanceName> names;
         for (const PrefixHolder& holder : holders) {
-          RC_ASSERT(noted[known].contains(holder.server));
+          RC_ASSERT(recorded[known].contains(holder.server));
           names.insert(holder.server);
         }
         RC_ASSERT(names.size() == holders.size());
--- a/test/RoutingRetries.cpp
+++ b/test/RoutingRetries.cpp
@@ -31,8 +31,8 @@
   return DecideRetry(outcome, allowance);
 }
 
-/// Attempts per request when every attempt fails, after a time in which all
-/// succeeded.
+/// Attempts per request while every attempt fails, after \p aGoodSeconds in
+/// which all succeeded.
 double
 MeasureAmplification(double aRequestsPerSecond,
                      int aGoodSeconds,
@@ -62,11 +62,11 @@
 
 } // namespace
 
-TEST_CASE("A service that fails altogether gets under 1.1 times the demand")
+TEST_CASE(
+  "A service that fails completely gets less than 1.1 attempts per request")
 {
-  // Every request fails, and each failure is one more request if it is retried.
-  // Without a budget three attempts a request treble the overload, and the
-  // service can't come back while callers keep asking.
+  // Without a budget, three attempts per request would treble the load of an
+  // overloaded service, which could then not recover.
   const double rate = GENERATE(3.0, 13.0, 100.0);
   const int good = GENERATE(0, 60);
   const double amplification = MeasureAmplification(rate, good, 60);
@@ -77,7 +77,7 @@
   CHECK(amplification < 1.1);
 }
 
-TEST_CASE("Retries are bounded by what successes have earned")
+TEST_CASE("Retries are bounded by the successes and the floor")
 {
   rc::prop("taken <= initial + perSuccess * successes + floor * time", [] {
     const RetryBudgetSettings settings;
@@ -103,7 +103,7 @@
   });
 }
 
-TEST_CASE("Only what was not run, or may be repeated, is ever sent again")
+TEST_CASE("Only requests that were not run or are idempotent are retried")
 {
   const bool isNotRun = GENERATE(true, false);
   const bool idempotent = GENERATE(true, false);
@@ -121,18 +121,18 @@
                                 canResume };
   const RetryAllowance allowance{ hasBudget, left, seconds(1), attempts, 3 };
   const bool isAllowed = hasBudget && left > seconds(1) && attempts < 3;
-  const bool isHarmless = idempotent || (isNotRun && delivered == 0);
+  const bool isSafeToRepeat = idempotent || (isNotRun && delivered == 0);
   RetryVerdict expected = RetryVerdict::GiveUp;
-  if (isAllowed && isHarmless && delivered > 0 && canResume) {
+  if (isAllowed && isSafeToRepeat && delivered > 0 && canResume) {
     expected = RetryVerdict::Resume;
-  } else if (isAllowed && isHarmless && (delivered == 0 || !streaming)) {
-    // What the caller already has is never sent a second time.
+  } else if (isAllowed && isSafeToRepeat && (delivered == 0 || !streaming)) {
+    // Output that the caller already has is never sent a second time.
     expected = RetryVerdict::Retry;
   }
   CHECK(DecideRetry(outcome, allowance) == expected);
 }
 
-TEST_CASE("Backoff is spread and bounded")
+TEST_CASE("Retry back-off has full jitter and an upper bound")
 {
   std::mt19937_64 random(1);
   Duration longest{ 0 };
@@ -148,7 +148,7 @@
   CHECK(sum / 1000 < milliseconds(6));
 }
 
-TEST_CASE("Admission keeps a customer's rate and concurrency")
+TEST_CASE("AdmissionControl enforces a customer's rate and concurrency")
 {
   rc::prop("never above the limit, never refused below it", [] {
     std::mt19937_64 random(1);
@@ -187,33 +187,35 @@
   });
 }
 
-TEST_CASE("Refused requests are told to come back at the rate that is allowed")
+TEST_CASE(
+  "Retry-After times of refused requests are spaced at the allowed rate")
 {
-  // A customer allowed 10 a second sends 200 at once. If all were told the same
-  // Retry-After, 189 would be refused again in the same moment.
+  // A customer limited to 10 requests/s sends 200 at once. With a common
+  // Retry-After, 189 of them would be refused again at the same time.
   std::mt19937_64 random(1);
   AdmissionControl admission;
   admission.SetLimit(kCustomer, { .requestsPerSecond = 10.0, .burst = 10.0 });
-  std::vector<std::int64_t> returns;
+  std::vector<std::int64_t> retryTimes;
   for (int request = 0; request < 200; ++request) {
     if (const auto error = admission.Admit(kCustomer, kStart, random)) {
-      returns.push_back(error->retryAfter.count());
+      retryTimes.push_back(error->retryAfter.count());
     }
   }
-  REQUIRE(returns.size() == 190);
-  std::sort(returns.begin(), returns.end());
-  std::size_t most = 0;
-  for (std::size_t first = 0; first < returns.size(); ++first) {
-    const auto last =
-      std::upper_bound(returns.begin(), returns.end(), returns[first] + 1000);
-    most =
-      std::max(most, static_cast<std::size_t>(last - returns.begin()) - first);
+  REQUIRE(retryTimes.size() == 190);
+  std::sort(retryTimes.begin(), retryTimes.end());
+  std::size_t maxPerSecond = 0;
+  for (std::size_t first = 0; first < retryTimes.size(); ++first) {
+    const auto last = std::upper_bound(
+      retryTimes.begin(), retryTimes.end(), retryTimes[first] + 1000);
+    maxPerSecond =
+      std::max(maxPerSecond,
+               static_cast<std::size_t>(last - retryTimes.begin()) - first);
   }
-  CHECK(most <= 13);
-  CHECK(returns.back() <= 30100);
+  CHECK(maxPerSecond <= 13);
+  CHECK(retryTimes.back() <= 30100);
 }
 
-TEST_CASE("A customer without a limit takes up no memory when idle")
+TEST_CASE("An idle customer without a limit uses no memory")
 {
   std::mt19937_64 random(1);
   AdmissionControl admission;
--- a/test/RoutingSubset.cpp
+++ b/test/RoutingSubset.cpp
@@ -75,11 +75,12 @@
   });
 }
 
-TEST_CASE("A server that leaves or joins changes at most one slot")
+TEST_CASE(
+  "A server that leaves or joins changes at most one element of a subset")
 {
-  // Entries connect to their subset. If a lost server moved other slots too, a
-  // rack that fails would set off a wave of reconnections over the fleet.
-  rc::prop("removing one changes one slot or none", [] {
+  // Entries connect to their subset. If the loss of a server changed other
+  // elements too, a failed rack would cause reconnections in the whole fleet.
+  rc::prop("removing one changes one element or none", [] {
     const auto count = *rc::gen::inRange<std::size_t>(2, 80);
     const auto size = *rc::gen::inRange<std::size_t>(1, 40);
     const auto gone = *rc::gen::inRange<std::size_t>(0, count);
@@ -96,7 +97,7 @@
   });
 }
 
-TEST_CASE("Subsets load the servers evenly, and the larger the more so")
+TEST_CASE("Larger subsets spread the load over the servers more evenly")
 {
   // The figures are those in docs/design/routing.md.
   double lastRatio = 1e9;
--- a/test/ServerRates.cpp
+++ b/test/ServerRates.cpp
@@ -23,18 +23,19 @@
   return names;
 }
 
-/// What the gateway of this name knows, of a fleet that has settled.
+/// The state of gateway \p aSelf after the settle time of \p aFleet.
 ServerRates
-Settled(const InstanceName& aSelf, std::span<const InstanceName> aFleet)
+MakeSettledRates(const InstanceName& aSelf,
+                 std::span<const InstanceName> aFleet)
 {
   ServerRates rates(aSelf, kSettle);
   rates.Holders().SetGateways(aFleet, kStart - 2 * kSettle);
   return rates;
 }
 
-/// Requests that may be sent in so long, tried each 10 ms.
+/// Requests that may be sent within \p aTime, with an attempt every 10 ms.
 std::size_t
-SentIn(ServerRates& aRates, TimePoint aFrom, Duration aTime)
+CountSent(ServerRates& aRates, TimePoint aFrom, Duration aTime)
 {
   std::size_t sent = 0;
   for (TimePoint now = aFrom; now < aFrom + aTime; now += milliseconds(10)) {
@@ -48,47 +49,48 @@
 
 } // namespace
 
-TEST_CASE("a server without a bound gets whatever comes", "[rates]")
+TEST_CASE("a server without a rate limit gets every request", "[rates]")
 {
   ServerRates rates(InstanceName("g1"), kSettle);
   CHECK_FALSE(rates.OnAnswer(kServer, std::nullopt, kStart));
-  CHECK(SentIn(rates, kStart, seconds(1)) == 100);
+  CHECK(CountSent(rates, kStart, seconds(1)) == 100);
   CHECK(rates.Tell(kStart).empty());
 }
 
-TEST_CASE("one gateway alone sends a limited server nearly its rate", "[rates]")
+TEST_CASE("a single gateway sends a limited server nearly its rate", "[rates]")
 {
   const auto fleet = Gateways(1);
-  ServerRates rates = Settled(fleet[0], fleet);
+  ServerRates rates = MakeSettledRates(fleet[0], fleet);
   CHECK(rates.OnAnswer(kServer, 10.0, kStart));
   CHECK_FALSE(rates.OnAnswer(kServer, 10.0, kStart));
-  const std::size_t sent = SentIn(rates, kStart, seconds(10));
+  const std::size_t sent = CountSent(rates, kStart, seconds(10));
   CHECK(sent >= 90);
   CHECK(sent <= 100);
 }
 
-TEST_CASE("the newest answer holds, whoever got it", "[rates]")
+TEST_CASE("the newest response applies, whichever gateway got it", "[rates]")
 {
   const auto fleet = Gateways(1);
-  ServerRates rates = Settled(fleet[0], fleet);
+  ServerRates rates = MakeSettledRates(fleet[0], fleet);
   rates.OnAnswer(kServer, 2.0, kStart);
   const TimePoint later = kStart + seconds(2);
-  // Older than what is known.
+  // Older than the known response.
   CHECK_FALSE(rates.Hear({ kServer, std::nullopt, seconds(5) }, later));
   CHECK(rates.IsLimited(kServer));
   // Newer.
   CHECK(rates.Hear({ kServer, std::nullopt, seconds(1) }, later));
   CHECK_FALSE(rates.IsLimited(kServer));
-  // Told once more, late.
+  // The first response once more, delayed.
   CHECK_FALSE(rates.Hear({ kServer, 2.0, seconds(2) }, later));
   CHECK_FALSE(rates.IsLimited(kServer));
-  // An answer that names it again.
+  // A newer response with a limit.
   CHECK(rates.OnAnswer(kServer, 3.0, later));
   CHECK(rates.IsLimited(kServer));
 }
 
-TEST_CASE("the end of a bound is told until nobody tells of the bound",
-          "[rates]")
+TEST_CASE(
+  "the end of a limit is sent until no gateway sends the limit any more",
+  "[rates]")
 {
   ServerRates rates(InstanceName("g1"), kSettle);
   rates.OnAnswer(kServer, 2.0, kStart);
@@ -102,56 +104,57 @@
   CHECK_FALSE(rates.Tell(late)[0].perSecond.has_value());
 }
 
-TEST_CASE("a server that takes nothing is asked now and then", "[rates]")
+TEST_CASE("a server with rate 0 still gets a request now and then", "[rates]")
 {
   const auto fleet = Gateways(1);
-  ServerRates rates = Settled(fleet[0], fleet);
+  ServerRates rates = MakeSettledRates(fleet[0], fleet);
   rates.OnAnswer(kServer, 0.0, kStart);
-  const std::size_t sent = SentIn(rates, kStart, seconds(120));
+  const std::size_t sent = CountSent(rates, kStart, seconds(120));
   CHECK(sent >= 2);
   CHECK(sent <= 8);
 }
 
-TEST_CASE("a rate that is no number comes to the least", "[rates]")
+TEST_CASE("a rate of NaN counts as the minimum rate", "[rates]")
 {
   const auto fleet = Gateways(1);
-  ServerRates rates = Settled(fleet[0], fleet);
+  ServerRates rates = MakeSettledRates(fleet[0], fleet);
   rates.Hear({ kServer, std::nan(""), milliseconds(0) }, kStart);
-  const std::size_t sent = SentIn(rates, kStart, seconds(120));
+  const std::size_t sent = CountSent(rates, kStart, seconds(120));
   CHECK(sent >= 2);
   CHECK(sent <= 10);
 }
 
-TEST_CASE("a server that names a huge rate is not bounded by it", "[rates]")
+TEST_CASE("a huge rate does not limit a server", "[rates]")
 {
   const auto fleet = Gateways(1);
-  ServerRates rates = Settled(fleet[0], fleet);
+  ServerRates rates = MakeSettledRates(fleet[0], fleet);
   rates.OnAnswer(kServer, 1e300, kStart);
   CHECK_FALSE(rates.MaySend(kServer, 1, kStart));
-  CHECK(SentIn(rates, kStart + seconds(1), seconds(1)) == 100);
+  CHECK(CountSent(rates, kStart + seconds(1), seconds(1)) == 100);
 }
 
-TEST_CASE("a gateway that has just started or slept holds no part", "[rates]")
+TEST_CASE("a gateway that started or was suspended holds no share at first",
+          "[rates]")
 {
   const auto fleet = Gateways(1);
   ServerRates rates(fleet[0], kSettle);
   rates.OnAnswer(kServer, 100.0, kStart);
-  CHECK(SentIn(rates, kStart, seconds(1)) == 0);
+  CHECK(CountSent(rates, kStart, seconds(1)) == 0);
   rates.Holders().SetGateways(fleet, kStart);
-  CHECK(SentIn(rates, kStart, kSettle) == 0);
-  CHECK(SentIn(rates, kStart + kSettle, seconds(1)) > 0);
-  const TimePoint woken = kStart + seconds(10);
-  rates.Holders().Distrust(woken);
-  CHECK(SentIn(rates, woken, kSettle) == 0);
-  CHECK(SentIn(rates, woken + kSettle, seconds(1)) > 0);
+  CHECK(CountSent(rates, kStart, kSettle) == 0);
+  CHECK(CountSent(rates, kStart + kSettle, seconds(1)) > 0);
+  const TimePoint resumed = kStart + seconds(10);
+  rates.Holders().Distrust(resumed);
+  CHECK(CountSent(rates, resumed, kSettle) == 0);
+  CHECK(CountSent(rates, resumed + kSettle, seconds(1)) > 0);
 }
 
-// Guards against two gateways sending on one part while they differ on who is
-// there.
-TEST_CASE("a part that changes hands is given up at once and taken late",
+// Guards against two gateways using the same share while they know different
+// memberships.
+TEST_CASE("a share is given up at once and taken after the settle time",
           "[rates]")
 {
-  rc::prop("no more than the whole rate is held", [] {
+  rc::prop("the shares never add up to more than the rate", [] {
     const auto size = *rc::gen::inRange<std::size_t>(1, 12);
     const double rate = 0.1 * *rc::gen::inRange(1, 200);
     auto fleet = Gateways(size);
@@ -162,7 +165,7 @@
     }
     TimePoint now = kStart + kSettle;
     for (int change = 0; change < 4; ++change) {
-      // One leaves or one more comes; all read so within two seconds.
+      // A gateway leaves or joins; all learn of it within two seconds.
       if (fleet.size() > 1 && *rc::gen::arbitrary<bool>()) {
         fleet.erase(fleet.begin() + *rc::gen::inRange<long>(
                                       0, static_cast<long>(fleet.size())));
@@ -193,19 +196,20 @@
   });
 }
 
-TEST_CASE("a fleet of any size holds a rate whole", "[rates]")
+TEST_CASE("the shares of a fleet of any size add up to nearly the rate",
+          "[rates]")
 {
-  rc::prop("the sum of all parts is nearly the rate", [] {
+  rc::prop("the sum of all shares is nearly the rate", [] {
     const auto size = *rc::gen::inRange<std::size_t>(1, 60);
     const double rate = 0.1 * *rc::gen::inRange(1, 1000);
     const auto fleet = Gateways(size);
     double held = 0;
     double burst = 0;
     for (const InstanceName& name : fleet) {
-      RateHolders one(name, kSettle);
-      one.SetGateways(fleet, kStart);
-      one.Version(kStart + kSettle);
-      const RateShare share = one.ShareOf(kServer, rate, 1);
+      RateHolders allocator(name, kSettle);
+      allocator.SetGateways(fleet, kStart);
+      allocator.Version(kStart + kSettle);
+      const RateShare share = allocator.ShareOf(kServer, rate, 1);
       held += share.perSecond;
       burst += share.burst;
     }
@@ -215,16 +219,16 @@
   });
 }
 
-TEST_CASE("of a cell's server only that cell's gateways hold parts", "[rates]")
+TEST_CASE("only gateways of a server's cell hold shares of its rate", "[rates]")
 {
   constexpr std::size_t kCells = 4;
   const auto fleet = Gateways(100);
   double held = 0;
   for (const InstanceName& name : fleet) {
-    RateHolders one(name, kSettle);
-    one.SetGateways(fleet, kStart);
-    one.Version(kStart + kSettle);
-    const RateShare share = one.ShareOf(kServer, 5, kCells);
+    RateHolders allocator(name, kSettle);
+    allocator.SetGateways(fleet, kStart);
+    allocator.Version(kStart + kSettle);
+    const RateShare share = allocator.ShareOf(kServer, 5, kCells);
     held += share.perSecond;
     const bool isInCell = CellOf(name, kCells) == CellOf(kServer, kCells);
     CHECK((isInCell || share.perSecond == 0));
@@ -234,16 +238,18 @@
 
 namespace {
 
-/// Requests of an early and a late rank, so many a second.
-struct RankedPlay
+/// Two ranks of requests, 0 (early) and 3 (late), in competition for limited
+/// servers.
+struct RankedLoad
 {
+  /// Requests per second.
   double early = 0;
   double late = 0;
   std::size_t earlySent = 0;
   std::size_t lateSent = 0;
 
-  /// Plays them on servers that take so many a second together.
-  void Play(double aPerSecond, Duration aTime)
+  /// Runs the load on servers that together accept \p aPerSecond.
+  void Run(double aPerSecond, Duration aTime)
   {
     RankReserve reserve;
     TokenBucket bucket(aPerSecond, aPerSecond, 0);
@@ -274,39 +280,40 @@
 
 } // namespace
 
-TEST_CASE("early ranks take what bounded servers have, late ones the rest",
-          "[rates]")
+TEST_CASE(
+  "early ranks get the capacity of limited servers first, late ones the rest",
+  "[rates]")
 {
-  RankedPlay play{ .early = 10, .late = 30 };
-  play.Play(20, seconds(20));
-  CHECK(play.earlySent >= 190);
-  CHECK(play.lateSent >= 180);
-  CHECK(play.earlySent + play.lateSent >= 380);
+  RankedLoad load{ .early = 10, .late = 30 };
+  load.Run(20, seconds(20));
+  CHECK(load.earlySent >= 190);
+  CHECK(load.lateSent >= 180);
+  CHECK(load.earlySent + load.lateSent >= 380);
 }
 
-TEST_CASE("no rank starves where earlier ones want all", "[rates]")
+TEST_CASE("no rank starves when earlier ones use the whole capacity", "[rates]")
 {
-  RankedPlay play{ .early = 60, .late = 60 };
-  play.Play(20, seconds(20));
-  CHECK(play.lateSent >= 30);
-  CHECK(play.lateSent <= 60);
-  CHECK(play.earlySent >= 330);
+  RankedLoad load{ .early = 60, .late = 60 };
+  load.Run(20, seconds(20));
+  CHECK(load.lateSent >= 30);
+  CHECK(load.lateSent <= 60);
+  CHECK(load.earlySent >= 330);
 }
 
-TEST_CASE("a rank alone may take all that is free", "[rates]")
+TEST_CASE("a single rank may use the whole capacity", "[rates]")
 {
-  RankedPlay play{ .early = 0, .late = 60 };
-  play.Play(20, seconds(10));
-  CHECK(play.lateSent >= 190);
+  RankedLoad load{ .early = 0, .late = 60 };
+  load.Run(20, seconds(10));
+  CHECK(load.lateSent >= 190);
 }
 
-// Guards against late requests that come all the time taking each request that
-// becomes free, so that early ones find none when they come.
-TEST_CASE("early requests that come together find what was saved for them",
+// Guards against a steady stream of late-rank requests using all capacity as it
+// becomes free, so that a burst of early-rank requests finds none.
+TEST_CASE("a burst of early-rank requests finds the capacity reserved for it",
           "[rates]")
 {
   constexpr double kPerSecond = 20;
-  constexpr std::size_t kTogether = 8;
+  constexpr std::size_t kBurst = 8;
   RankReserve reserve;
   TokenBucket bucket(kPerSecond, kPerSecond, 0);
   std::size_t earlySent = 0;
@@ -322,11 +329,11 @@
   for (int tick = 0; tick < 2000; ++tick) {
     const TimePoint now = kStart + tick * milliseconds(10);
     lateSent += trySend(3, now);
-    for (std::size_t i = 0; tick % 100 == 99 && i < kTogether; ++i) {
+    for (std::size_t i = 0; tick % 100 == 99 && i < kBurst; ++i) {
       earlySent += trySend(0, now);
     }
   }
-  // The first seconds save up.
-  CHECK(earlySent >= 18 * kTogether);
+  // Capacity is being saved up in the first seconds.
+  CHECK(earlySent >= 18 * kBurst);
   CHECK(lateSent >= 180);
 }
