--- a/test/ServerRates.cpp
+++ b/test/ServerRates.cpp
@@ -97,7 +97,8 @@
   CHECK(rates.Tell(kStart).size() == 1);
   rates.OnAnswer(kServer, std::nullopt, kStart + seconds(1));
   CHECK(rates.Tell(kStart + seconds(2)).size() == 1);
-  const TimePoint late = kStart + seconds(1) + 2 * ServerRates::kTellEnded;
+  const TimePoint late =
+    kStart + seconds(1) + 2 * ServerRates::kAnnounceEndedFor;
   CHECK(rates.Tell(late).empty());
   rates.Hear({ kServer, 2.0, seconds(60) }, late);
   REQUIRE(rates.Tell(late).size() == 1);
