--- a/dogwoodvale/src/Backpressure/LeavingServers.cpp
+++ b/dogwoodvale/src/Backpressure/LeavingServers.cpp
@@ -11,13 +11,13 @@
 }
 
 bool
-LeavingServers::Hear(const LeavingNews& aNews, TimePoint aNow)
+LeavingServers::Hear(const LeavingNews& aUpdate, TimePoint aNow)
 {
-  if (aNews.age >= kTell) {
+  if (aUpdate.age >= kTell) {
     return false;
   }
   return this->Add(
-    aNews.server, aNow - std::max(aNews.age, milliseconds(0)), aNow);
+    aUpdate.server, aNow - std::max(aUpdate.age, milliseconds(0)), aNow);
 }
 
 bool
--- a/dogwoodvale/src/Backpressure/LeavingServers.h
+++ b/dogwoodvale/src/Backpressure/LeavingServers.h
@@ -33,7 +33,7 @@
   bool OnAnswer(const InstanceName& aServer, TimePoint aNow);
   /// Handles an announcement from another gateway, unless older than kTell.
   /// \return whether this was not known yet.
-  bool Hear(const LeavingNews& aNews, TimePoint aNow);
+  bool Hear(const LeavingNews& aUpdate, TimePoint aNow);
   /// The announcements to send to other gateways: those younger than kTell, at
   /// most kMaxUpdates.
   std::vector<LeavingNews> Tell(TimePoint aNow) const;
--- a/dogwoodvale/src/Backpressure/ServerRates.cpp
+++ b/dogwoodvale/src/Backpressure/ServerRates.cpp
@@ -70,17 +70,17 @@
 }
 
 std::optional<RateChange>
-ServerRates::Hear(const RateNews& aNews, TimePoint aNow)
+ServerRates::Hear(const RateNews& aUpdate, TimePoint aNow)
 {
-  const std::optional<double> rate = ClampRate(aNews.perSecond);
+  const std::optional<double> rate = ClampRate(aUpdate.perSecond);
   const TimePoint answeredAt =
-    aNow - std::clamp(aNews.age, milliseconds(0), kMaxAge);
-  const auto found = this->entries.find(aNews.server);
+    aNow - std::clamp(aUpdate.age, milliseconds(0), kMaxAge);
+  const auto found = this->entries.find(aUpdate.server);
   if (found == this->entries.end()) {
     if (!rate) {
       return std::nullopt;
     }
-    return this->SetRate(this->entries[aNews.server], rate, answeredAt, aNow);
+    return this->SetRate(this->entries[aUpdate.server], rate, answeredAt, aNow);
   }
   Entry& entry = found->second;
   if (entry.perSecond == rate) {
--- a/dogwoodvale/src/Backpressure/ServerRates.h
+++ b/dogwoodvale/src/Backpressure/ServerRates.h
@@ -50,9 +50,9 @@
                                      std::optional<double> aPerSecond,
                                      TimePoint aNow);
   /// Handles an update from another gateway.
-  /// \param aNews about a server in this gateway's list.
+  /// \param aUpdate about a server in this gateway's list.
   /// \return the change of the server's limit; nothing if it is unchanged.
-  std::optional<RateChange> Hear(const RateNews& aNews, TimePoint aNow);
+  std::optional<RateChange> Hear(const RateNews& aUpdate, TimePoint aNow);
   /// The updates to send to other gateways: the servers with a limit, and those
   /// whose limit has changed or ended recently.
   std::vector<RateNews> Tell(TimePoint aNow) const;
--- a/test/RateModel.cpp
+++ b/test/RateModel.cpp
@@ -34,7 +34,7 @@
                         double aPerSecond,
                         TimePoint aNow) = 0;
   virtual std::vector<RateNews> Tell(TimePoint aNow) = 0;
-  virtual void Hear(const RateNews& aNews, TimePoint aNow) = 0;
+  virtual void Hear(const RateNews& aUpdate, TimePoint aNow) = 0;
 };
 
 /// The limiter in use: few gateways hold shares of a server's rate.
@@ -68,9 +68,9 @@
   {
     return this->rates.Tell(aNow);
   }
-  void Hear(const RateNews& aNews, TimePoint aNow) override
+  void Hear(const RateNews& aUpdate, TimePoint aNow) override
   {
-    this->rates.Hear(aNews, aNow);
+    this->rates.Hear(aUpdate, aNow);
   }
 
 private:
@@ -119,9 +119,9 @@
   {
     return this->known;
   }
-  void Hear(const RateNews& aNews, TimePoint aNow) override
+  void Hear(const RateNews& aUpdate, TimePoint aNow) override
   {
-    this->OnAnswer(aNews.server, aNews.perSecond.value_or(0), aNow);
+    this->OnAnswer(aUpdate.server, aUpdate.perSecond.value_or(0), aNow);
   }
 
 private:
