--- a/dogwoodvale/src/Backpressure/LeavingServers.cpp
+++ b/dogwoodvale/src/Backpressure/LeavingServers.cpp
@@ -11,51 +11,52 @@
 }
 
 bool
-LeavingServers::Hear(const LeavingNews& aNews, TimePoint aNow)
+LeavingServers::Hear(const LeavingNews& aUpdate, TimePoint aNow)
 {
-  if (aNews.age >= kTell) {
+  if (aUpdate.age >= kTell) {
     return false;
   }
   return this->Add(
-    aNews.server, aNow - std::max(aNews.age, milliseconds(0)), aNow);
+    aUpdate.server, aNow - std::max(aUpdate.age, milliseconds(0)), aNow);
 }
 
 bool
 LeavingServers::Add(const InstanceName& aServer,
-                    TimePoint aSaidAt,
+                    TimePoint aAnnouncedAt,
                     TimePoint aNow)
 {
-  if (this->saidAt.contains(aServer)) {
+  if (this->announcedAt.contains(aServer)) {
     return false;
   }
-  std::erase_if(this->saidAt, [&](const auto& aItem) {
+  std::erase_if(this->announcedAt, [&](const auto& aItem) {
     return Between(aItem.second, aNow) >= kMemory;
   });
-  if (this->saidAt.size() >= kMost) {
-    this->saidAt.erase(std::ranges::min_element(
-      this->saidAt, {}, [](const auto& aItem) { return aItem.second; }));
+  if (this->announcedAt.size() >= kMost) {
+    this->announcedAt.erase(std::ranges::min_element(
+      this->announcedAt, {}, [](const auto& aItem) { return aItem.second; }));
   }
-  this->saidAt[aServer] = aSaidAt;
+  this->announcedAt[aServer] = aAnnouncedAt;
   return true;
 }
 
 std::vector<LeavingNews>
 LeavingServers::Tell(TimePoint aNow) const
 {
-  std::vector<LeavingNews> news;
-  for (const auto& [server, at] : this->saidAt) {
+  std::vector<LeavingNews> updates;
+  for (const auto& [server, at] : this->announcedAt) {
     const Duration age = Between(at, aNow);
-    if (age < kTell && news.size() < kMostNews) {
-      news.push_back({ server, std::chrono::duration_cast<milliseconds>(age) });
+    if (age < kTell && updates.size() < kMostNews) {
+      updates.push_back(
+        { server, std::chrono::duration_cast<milliseconds>(age) });
     }
   }
-  return news;
+  return updates;
 }
 
 bool
 LeavingServers::Contains(const InstanceName& aServer) const
 {
-  return this->saidAt.contains(aServer);
+  return this->announcedAt.contains(aServer);
 }
 
 } // namespace dogwoodvale
