--- a/dogwoodvale/src/Duties/DutyElection.cpp
+++ b/dogwoodvale/src/Duties/DutyElection.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 std::uint64_t
-OrderOf(const InstanceName& aProcess)
+HashOf(const InstanceName& aProcess)
 {
   constexpr std::uint64_t kSeed = 0x6475747965730000;
   return XXH3_64bits_withSeed(
@@ -27,7 +27,7 @@
 void
 DutyElection::OnHeard(const InstanceName& aProcess, bool aHolds, TimePoint aNow)
 {
-  this->heard[aProcess] = aNow;
+  this->lastHeartbeats[aProcess] = aNow;
   if (aHolds) {
     this->holder = aProcess;
   } else if (this->holder == aProcess) {
@@ -39,30 +39,32 @@
 std::size_t
 DutyElection::RankOfSelf(TimePoint aNow) const
 {
-  const std::uint64_t own = OrderOf(this->self);
+  const std::uint64_t own = HashOf(this->self);
   std::size_t before = 0;
-  for (const auto& [process, at] : this->heard) {
-    const bool isAlive = Between(at, aNow) <= kSilence;
-    before += isAlive && OrderOf(process) < own ? 1 : 0;
+  for (const auto& [process, at] : this->lastHeartbeats) {
+    const bool isAlive = Between(at, aNow) <= kPeerTimeout;
+    before += isAlive && HashOf(process) < own ? 1 : 0;
   }
   return before;
 }
 
 bool
-DutyElection::ShouldStand(TimePoint aNow)
+DutyElection::ShouldAcquire(TimePoint aNow)
 {
-  if (this->holder && Between(this->heard[*this->holder], aNow) > kSilence) {
+  if (this->holder &&
+      Between(this->lastHeartbeats[*this->holder], aNow) > kPeerTimeout) {
     this->holder.reset();
     this->vacantSince = aNow;
   }
-  std::erase_if(this->heard, [aNow](const auto& aItem) {
-    return Between(aItem.second, aNow) > kSilence;
+  std::erase_if(this->lastHeartbeats, [aNow](const auto& aItem) {
+    return Between(aItem.second, aNow) > kPeerTimeout;
   });
-  if (this->holder || aNow < this->standBackUntil) {
+  if (this->holder || aNow < this->backOffUntil) {
     return false;
   }
   const auto rank = static_cast<Duration::rep>(this->RankOfSelf(aNow));
-  return Between(this->vacantSince, aNow) >= kFirstStands + rank * kNextStands;
+  return Between(this->vacantSince, aNow) >=
+         kFirstCandidateDelay + rank * kNextCandidateDelay;
 }
 
 } // namespace dogwoodvale
--- a/dogwoodvale/src/Duties/DutyElection.h
+++ b/dogwoodvale/src/Duties/DutyElection.h
@@ -8,40 +8,44 @@
 
 namespace dogwoodvale {
 
-/// Decides whether this process tries to become the holder of a duty.
+/// Decides when this process tries to acquire the lease of a duty (a task that
+/// one process, the leader, does for all).
 ///
-/// Processes tell each other who holds it. When nobody does, they stand one
-/// after the other in an order by hash of their names, so that the loss of a
-/// holder costs the store a few calls and not one of each process. Safety does
-/// not rest on this: two that stand at once are told apart by the store.
+/// Processes inform each other which of them holds the duty. If none does, they
+/// try to acquire it one after the other, ordered by a hash of their names, so
+/// that the loss of a holder costs the store a few calls instead of one per
+/// process. Safety does not depend on this: if two try at the same time, the
+/// store's lease decides between them.
 class DutyElection
 {
 public:
   DutyElection(InstanceName aSelf, TimePoint aNow);
 
-  /// A process that may hold the duty gave a sign of life.
+  /// A heartbeat arrived from a process that is eligible for the duty.
+  /// \param aHolds whether that process holds the duty.
   void OnHeard(const InstanceName& aProcess, bool aHolds, TimePoint aNow);
-  /// Leaves the duty to others until then.
-  void StandBack(TimePoint aUntil) { this->standBackUntil = aUntil; }
-  /// Call a few times a second.
-  bool ShouldStand(TimePoint aNow);
-  /// The holder that was heard of last; none after its silence.
+  /// This process does not try to acquire the duty before \p aUntil.
+  void BackOffUntil(TimePoint aUntil) { this->backOffUntil = aUntil; }
+  /// Whether to try to acquire the duty now. Call a few times a second.
+  bool ShouldAcquire(TimePoint aNow);
+  /// The last reported holder; nullopt if it timed out or gave up the duty.
   const std::optional<InstanceName>& Holder() const { return this->holder; }
-  /// Processes heard lately that come before this one.
+  /// Number of live processes that precede this one in the order.
   std::size_t RankOfSelf(TimePoint aNow) const;
 
-  /// A process that was not heard for so long is taken as gone.
-  static constexpr Duration kSilence = seconds(1);
-  /// From a duty's vacancy until the first one stands, and to the next.
-  static constexpr Duration kFirstStands = milliseconds(500);
-  static constexpr Duration kNextStands = milliseconds(500);
+  /// A process is considered dead after this long without a heartbeat.
+  static constexpr Duration kPeerTimeout = seconds(1);
+  /// Delay from a duty's vacancy until the first process tries to acquire it,
+  /// and from each process to the next in the order.
+  static constexpr Duration kFirstCandidateDelay = milliseconds(500);
+  static constexpr Duration kNextCandidateDelay = milliseconds(500);
 
 private:
   InstanceName self;
-  std::map<InstanceName, TimePoint> heard;
+  std::map<InstanceName, TimePoint> lastHeartbeats;
   std::optional<InstanceName> holder;
   TimePoint vacantSince;
-  TimePoint standBackUntil{};
+  TimePoint backOffUntil{};
 };
 
 } // namespace dogwoodvale
--- a/dogwoodvale/src/Duties/TimeAgreement.cpp
+++ b/dogwoodvale/src/Duties/TimeAgreement.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 Duration
-LeadOf(milliseconds aTimeOfDay, TimePoint aNow)
+OffsetOf(milliseconds aTimeOfDay, TimePoint aNow)
 {
   return Duration(aTimeOfDay) -
          std::chrono::duration_cast<Duration>(aNow.time_since_epoch());
@@ -21,24 +21,24 @@
                        milliseconds aTimeOfDay,
                        TimePoint aNow)
 {
-  this->samples[aProcess] = { LeadOf(aTimeOfDay, aNow), aNow };
+  this->samples[aProcess] = { OffsetOf(aTimeOfDay, aNow), aNow };
   std::erase_if(this->samples, [aNow](const auto& aItem) {
-    return Between(aItem.second.at, aNow) > kSampleLife;
+    return Between(aItem.second.at, aNow) > kSampleTimeToLive;
   });
 }
 
 milliseconds
 TimeAgreement::TrueTime(milliseconds aOwnTimeOfDay, TimePoint aNow) const
 {
-  std::vector<Duration> leads{ LeadOf(aOwnTimeOfDay, aNow) };
+  std::vector<Duration> offsets{ OffsetOf(aOwnTimeOfDay, aNow) };
   for (const auto& [process, sample] : this->samples) {
-    if (Between(sample.at, aNow) <= kSampleLife) {
-      leads.push_back(sample.lead);
+    if (Between(sample.at, aNow) <= kSampleTimeToLive) {
+      offsets.push_back(sample.offset);
     }
   }
   const auto middle =
-    leads.begin() + static_cast<std::ptrdiff_t>((leads.size() - 1) / 2);
-  std::nth_element(leads.begin(), middle, leads.end());
+    offsets.begin() + static_cast<std::ptrdiff_t>((offsets.size() - 1) / 2);
+  std::nth_element(offsets.begin(), middle, offsets.end());
   return std::chrono::duration_cast<milliseconds>(
     *middle + std::chrono::duration_cast<Duration>(aNow.time_since_epoch()));
 }
--- a/dogwoodvale/src/Duties/TimeAgreement.h
+++ b/dogwoodvale/src/Duties/TimeAgreement.h
@@ -7,28 +7,30 @@
 
 namespace dogwoodvale {
 
-/// The time of day as the median of several processes' clocks tells it, so that
-/// one clock that jumps moves nobody's windows.
+/// Agreed time of day: the median of several processes' clocks, so that a jump
+/// of one clock shifts no process's windows.
 ///
-/// Clocks are followed by how far each is ahead of this process's monotonic
-/// clock: a jump of the own time of day then changes one sample of many.
+/// Each clock is stored as its offset from this process's monotonic clock, so
+/// that a jump of this process's own time of day changes one sample only.
 class TimeAgreement
 {
 public:
-  /// Another process said that its clock shows \p aTimeOfDay.
+  /// Another process reported \p aTimeOfDay as its clock's time since 1970.
   void OnHeard(const InstanceName& aProcess,
                milliseconds aTimeOfDay,
                TimePoint aNow);
-  /// \param aOwnTimeOfDay by this process's clock.
+  /// \return the median time since 1970; of an even number of clocks the lower
+  /// of the two middle ones.
+  /// \param aOwnTimeOfDay this process's clock, counted as one sample.
   milliseconds TrueTime(milliseconds aOwnTimeOfDay, TimePoint aNow) const;
 
-  /// A clock that was not heard for so long no longer counts.
-  static constexpr Duration kSampleLife = seconds(3);
+  /// Samples older than this are ignored.
+  static constexpr Duration kSampleTimeToLive = seconds(3);
 
 private:
   struct Sample
   {
-    Duration lead{ 0 };
+    Duration offset{ 0 };
     TimePoint at{};
   };
   std::map<InstanceName, Sample> samples;
--- a/dogwoodvale/src/Duties/UsageLedger.cpp
+++ b/dogwoodvale/src/Duties/UsageLedger.cpp
@@ -17,7 +17,7 @@
   ++counted.total;
   ++counted.sum;
   ++counted.counts[aCustomer];
-  this->toTell[{ aWindow, aCustomer }] = kTellings;
+  this->pendingUpdates[{ aWindow, aCustomer }] = kTransmissions;
 }
 
 std::vector<UsageNews>
@@ -29,13 +29,13 @@
     return news;
   }
   std::map<WindowId, UsageCounts> changed;
-  std::size_t told = 0;
-  for (auto it = this->toTell.begin();
-       it != this->toTell.end() && told < kMostTold;
-       ++told) {
+  std::size_t added = 0;
+  for (auto it = this->pendingUpdates.begin();
+       it != this->pendingUpdates.end() && added < kMaxCountsPerUpdate;
+       ++added) {
     const auto& [window, customer] = it->first;
     changed[window][customer] = own->second[window].counts[customer];
-    it = --it->second == 0 ? this->toTell.erase(it) : std::next(it);
+    it = --it->second == 0 ? this->pendingUpdates.erase(it) : std::next(it);
   }
   for (const auto& [window, counted] : own->second) {
     news.push_back({ window, counted.total, std::move(changed[window]) });
@@ -49,7 +49,7 @@
   Counted& counted = aWindows[aNews.window];
   counted.total = std::max(counted.total, aNews.total);
   for (const auto& [customer, count] : aNews.counts) {
-    if (counted.counts.size() >= kMostCustomers &&
+    if (counted.counts.size() >= kMaxCustomers &&
         !counted.counts.contains(customer)) {
       continue;
     }
@@ -58,7 +58,7 @@
     counted.sum += newest - known;
     known = newest;
   }
-  while (aWindows.size() > kMostWindows) {
+  while (aWindows.size() > kMaxWindows) {
     aWindows.erase(aWindows.begin());
   }
 }
@@ -66,7 +66,8 @@
 void
 UsageLedger::Hear(const UsageSource& aSource, std::span<const UsageNews> aNews)
 {
-  // What others have heard of this process is never newer than what it knows.
+  // Other processes' copies of this process's counts are never newer than its
+  // own.
   if (aSource == this->self || aNews.empty()) {
     return;
   }
@@ -122,7 +123,7 @@
   }
   std::erase_if(this->sources,
                 [](const auto& aItem) { return aItem.second.empty(); });
-  std::erase_if(this->toTell, [aWindow](const auto& aItem) {
+  std::erase_if(this->pendingUpdates, [aWindow](const auto& aItem) {
     return aItem.first.first < aWindow;
   });
 }
--- a/dogwoodvale/src/Duties/UsageLedger.h
+++ b/dogwoodvale/src/Duties/UsageLedger.h
@@ -9,7 +9,7 @@
 
 namespace dogwoodvale {
 
-/// One lifetime of one process that counts usage.
+/// One incarnation of one process that counts usage.
 struct UsageSource
 {
   InstanceName process;
@@ -19,8 +19,8 @@
   auto operator<=>(const UsageSource&) const = default;
 };
 
-/// What a source tells of one window: what it has counted so far, in all and of
-/// some customers.
+/// A source's cumulative counts for one window: the total over all customers,
+/// and the counts of some customers.
 struct UsageNews
 {
   WindowId window = 0;
@@ -30,39 +30,42 @@
   bool operator==(const UsageNews&) const = default;
 };
 
-/// Brings together what all processes have counted.
+/// Aggregates the usage counts of all processes.
 ///
-/// Each source's counts only rise, so the highest word of each is the newest,
-/// in whatever order, however often and by whomever it is told. A source's
-/// total says whether all of its counts have been heard.
+/// Each source's counts only increase, so the maximum is the latest, regardless
+/// of order, duplicates and the sender of an update. A source's total shows
+/// whether all of its counts have been received.
 class UsageLedger
 {
 public:
   explicit UsageLedger(UsageSource aSelf);
 
-  /// A request began to run.
+  /// Counts a request that began to run.
   void Count(WindowId aWindow, const CustomerName& aCustomer);
-  /// This process's own counts for the others: of each window that is kept the
-  /// total, and the counts that changed lately.
+  /// This process's counts to send to the others: for each window held, the
+  /// total and the recently changed counts.
   std::vector<UsageNews> Tell();
+  /// Merges the updates of another source; this process's own are ignored.
   void Hear(const UsageSource& aSource, std::span<const UsageNews> aNews);
 
-  /// Whether all that each source told of the window's total was heard.
+  /// Whether, for each source, the received counts add up to its total.
   bool IsWhole(WindowId aWindow) const;
+  /// The received counts, summed over all sources.
   UsageCounts CountsOf(WindowId aWindow) const;
-  /// All that is known, for a process that has missed some of it.
+  /// All counts, to synchronise a process that missed updates.
   std::map<UsageSource, std::vector<UsageNews>> All() const;
-  /// Forgets earlier windows.
+  /// Drops all windows before \p aWindow.
   void DropBefore(WindowId aWindow);
 
-  /// Each change is told this often: a datagram may be lost.
-  static constexpr int kTellings = 3;
-  /// Counts told at once.
-  static constexpr std::size_t kMostTold = 512;
-  /// Customers that one source may name in one window.
-  static constexpr std::size_t kMostCustomers = 65'536;
-  /// Windows that a source may name; a later one replaces the earliest.
-  static constexpr std::size_t kMostWindows = 8;
+  /// Number of updates that carry each change, as datagrams may be lost.
+  static constexpr int kTransmissions = 3;
+  /// Maximum number of customers' counts per call of Tell().
+  static constexpr std::size_t kMaxCountsPerUpdate = 512;
+  /// Maximum number of customers per source and window; counts of further ones
+  /// are ignored.
+  static constexpr std::size_t kMaxCustomers = 65'536;
+  /// Maximum number of windows per source; beyond it the earliest is dropped.
+  static constexpr std::size_t kMaxWindows = 8;
 
 private:
   struct Counted
@@ -77,8 +80,8 @@
 
   UsageSource self;
   std::map<UsageSource, Windows> sources;
-  /// Own counts that changed, by how often they are still to be told.
-  std::map<std::pair<WindowId, CustomerName>, int> toTell;
+  /// Own counts that changed, with the number of transmissions left.
+  std::map<std::pair<WindowId, CustomerName>, int> pendingUpdates;
 };
 
 } // namespace dogwoodvale
--- a/dogwoodvale/src/Duties/UsagePlan.cpp
+++ b/dogwoodvale/src/Duties/UsagePlan.cpp
@@ -10,7 +10,7 @@
 constexpr std::string_view kPrefix = "dogwoodvale/usage/";
 constexpr std::string_view kFloorName = "floor";
 
-/// Keys of records end in their slot's number.
+/// Keys of records end in their slot's number. \return nullopt for other keys.
 std::optional<std::size_t>
 SlotOfKey(std::string_view aKey)
 {
@@ -86,15 +86,15 @@
 }
 
 WindowId
-UsagePlan::FirstWindow(milliseconds aTrueTime) const
+UsagePlan::FirstWindow(milliseconds aAgreedTime) const
 {
   const auto kept = static_cast<WindowId>(kSlots - 1);
   return std::max(this->floor.window,
-                  this->schedule.WindowAt(aTrueTime) - kept);
+                  this->schedule.WindowAt(aAgreedTime) - kept);
 }
 
 UsageStep::Any
-UsagePlan::Next(milliseconds aTrueTime, const UsageView& aView)
+UsagePlan::Next(milliseconds aAgreedTime, const UsageView& aView)
 {
   if (!this->era) {
     return UsageStep::Wait{};
@@ -102,18 +102,18 @@
   if (!this->isRead) {
     return UsageStep::ReadRecords{};
   }
-  const WindowId current = this->schedule.WindowAt(aTrueTime);
+  const WindowId current = this->schedule.WindowAt(aAgreedTime);
   if (this->floorRevision == 0 || this->floor.era != *this->era) {
-    // By its own clock a holder of the era before may have decided the current
-    // window already.
+    // The current window is left out too: a holder of the previous era may have
+    // decided it already, by its own clock.
     return UsageStep::WriteFloor{ { *this->era, current + 1 },
                                   this->floorRevision };
   }
-  const WindowId first = this->FirstWindow(aTrueTime);
+  const WindowId first = this->FirstWindow(aAgreedTime);
   this->done.erase(this->done.begin(), this->done.lower_bound(first));
   for (WindowId window = first; window < current; ++window) {
     if (!this->done.contains(window)) {
-      return this->NextOf(window, aTrueTime, aView);
+      return this->NextOf(window, aAgreedTime, aView);
     }
   }
   return UsageStep::Wait{};
@@ -121,23 +121,23 @@
 
 UsageStep::Any
 UsagePlan::NextOf(WindowId aWindow,
-                  milliseconds aTrueTime,
+                  milliseconds aAgreedTime,
                   const UsageView& aView)
 {
   const Record& record = this->records[SlotOf(aWindow)];
   const bool isDecided = record.report && record.report->window == aWindow;
-  if (aTrueTime + kLastMoment > this->schedule.DueAt(aWindow)) {
+  if (aAgreedTime + kSendMargin > this->schedule.DueAt(aWindow)) {
     if (!isDecided) {
       return this->LeaveOut(aWindow, "overdue");
     }
-    // Its sending was for whoever kept it.
+    // Too late to send; sending it was up to the process that stored it.
     this->done.insert(aWindow);
     return UsageStep::Wait{};
   }
   if (!isDecided) {
-    return this->Decide(aWindow, aTrueTime, aView);
+    return this->Decide(aWindow, aAgreedTime, aView);
   }
-  if (aTrueTime < this->resendAt) {
+  if (aAgreedTime < this->resendAt) {
     return UsageStep::Wait{};
   }
   return UsageStep::SendReport{ *record.report };
@@ -145,13 +145,13 @@
 
 UsageStep::Any
 UsagePlan::Decide(WindowId aWindow,
-                  milliseconds aTrueTime,
+                  milliseconds aAgreedTime,
                   const UsageView& aView)
 {
-  const milliseconds age = aTrueTime - this->schedule.EndOf(aWindow);
+  const milliseconds age = aAgreedTime - this->schedule.EndOf(aWindow);
   const UsageKnowledge known = aView.KnowledgeOf(aWindow);
   const bool isReady = age >= kSettleTime && known == UsageKnowledge::Settled;
-  if (!isReady && age < kPatience) {
+  if (!isReady && age < kDecisionTimeout) {
     return UsageStep::Wait{};
   }
   if (known == UsageKnowledge::Unknown) {
@@ -182,7 +182,7 @@
   this->records.clear();
   for (const KeyValue& value : aResult.values) {
     if (value.key == FloorKey()) {
-      // One that can't be read is of another era.
+      // Treat a malformed floor as one of another era.
       this->floorRevision = value.modRevision;
       this->floor =
         ReadUsageFloor(value.value).value_or(UsageFloor{ ~*this->era });
@@ -226,7 +226,7 @@
 void
 UsagePlan::OnSent(WindowId aWindow,
                   ReportVerdict aVerdict,
-                  milliseconds aTrueTime)
+                  milliseconds aAgreedTime)
 {
   switch (aVerdict) {
     case ReportVerdict::Accepted:
@@ -242,20 +242,20 @@
       return;
     case ReportVerdict::Superseded:
     case ReportVerdict::Failed:
-      this->resendAt = aTrueTime + kResendAfter;
+      this->resendAt = aAgreedTime + kResendDelay;
       return;
   }
 }
 
 std::size_t
-UsagePlan::Backlog(milliseconds aTrueTime) const
+UsagePlan::Backlog(milliseconds aAgreedTime) const
 {
   if (!this->era || !this->isRead) {
     return 0;
   }
   std::size_t count = 0;
-  const WindowId current = this->schedule.WindowAt(aTrueTime);
-  for (WindowId window = this->FirstWindow(aTrueTime); window < current;
+  const WindowId current = this->schedule.WindowAt(aAgreedTime);
+  for (WindowId window = this->FirstWindow(aAgreedTime); window < current;
        ++window) {
     count += this->done.contains(window) ? 0 : 1;
   }
--- a/dogwoodvale/src/Duties/UsagePlan.h
+++ b/dogwoodvale/src/Duties/UsagePlan.h
@@ -11,17 +11,18 @@
 
 namespace dogwoodvale {
 
-/// How much of a window's usage is known here.
+/// How much of a window's usage is known to this process.
 enum class UsageKnowledge : std::uint8_t
 {
-  /// Some process may still have counts to tell.
+  /// Counts of some process may still be missing.
   Open,
+  /// All counts have been received.
   Settled,
-  /// What was counted before this process began to hear of it is lost.
+  /// Counts from before this process began to receive updates are missing.
   Unknown,
 };
 
-/// What a holder knows of usage.
+/// Usage as known to this process.
 class UsageView
 {
 public:
@@ -30,21 +31,21 @@
   virtual UsageCounts CountsOf(WindowId aWindow) const = 0;
 };
 
-/// The holder's next step.
+/// The next step of the duty's holder.
 struct UsageStep
 {
   struct Wait
   {};
-  /// Read what the store keeps, see UsagePlan::OnRead().
+  /// Read the records from the store, see UsagePlan::OnRead().
   struct ReadRecords
   {};
-  /// Keep the floor, in place of the one of that revision.
+  /// Write the floor to the store, if its key is still at that revision.
   struct WriteFloor
   {
     UsageFloor floor;
     Revision replaces = 0;
   };
-  /// Keep the report, in place of the record of that revision.
+  /// Write the report to the store, if its key is still at that revision.
   struct WriteRecord
   {
     UsageReport report;
@@ -55,6 +56,7 @@
   {
     UsageReport report;
   };
+  /// Don't report the window.
   struct LeaveOut
   {
     WindowId window = 0;
@@ -64,54 +66,60 @@
     variant<Wait, ReadRecords, WriteFloor, WriteRecord, SendReport, LeaveOut>;
 };
 
-/// Decides what the holder of the usage duty does next.
+/// Decides the next step of the holder of the usage duty.
 ///
-/// A report's content is decided once: it is kept in the store, against the
-/// revision of what was there, before it is first sent, and every later sending
-/// is what is kept. So a successor, which can't know what its predecessor sent,
-/// sends the same. Where the store came back from an older copy, records may be
-/// gone whose reports were sent; windows that had begun before the first holder
-/// of that era are left out, as a report that is missing does less harm than
-/// two that differ.
+/// A report's content is decided once: it is written to the store with a
+/// compare-and-swap on the revision before it is first sent, and is only ever
+/// sent as stored. So a successor, which can't know what its predecessor sent,
+/// sends the same report. If the store was restored from an older copy, records
+/// of reports that were sent may be lost. Windows that began before the first
+/// holder of the new era are therefore left out: a missing report does less
+/// harm than two different ones.
 class UsagePlan
 {
 public:
   explicit UsagePlan(const UsageSchedule& aSchedule);
 
-  /// This process holds the duty, in that era of the store.
+  /// This process acquired the duty, in that era of the store.
   void OnAcquired(StoreEra aEra);
   void OnLost();
 
-  UsageStep::Any Next(milliseconds aTrueTime, const UsageView& aView);
+  /// \param aAgreedTime agreed time since 1970, see TimeAgreement.
+  UsageStep::Any Next(milliseconds aAgreedTime, const UsageView& aView);
 
-  /// The values under the duty's prefix, see RecordKey().
+  /// \param aResult all values under Prefix().
   void OnRead(const RangeResult& aResult);
   void OnFloorWritten(const UsageFloor& aFloor, const WriteResult& aResult);
   void OnRecordWritten(const UsageReport& aReport, const WriteResult& aResult);
-  void OnSent(WindowId aWindow, ReportVerdict aVerdict, milliseconds aTrueTime);
+  void OnSent(WindowId aWindow,
+              ReportVerdict aVerdict,
+              milliseconds aAgreedTime);
 
-  /// Windows of this holder's time that were accepted and left out.
+  /// Windows whose reports were accepted, and that were left out, while this
+  /// process held the duty.
   std::uint64_t Accepted() const { return this->accepted; }
   std::uint64_t LeftOut() const { return this->leftOut; }
   std::optional<WindowId> LastAccepted() const { return this->lastAccepted; }
-  /// Windows that have ended and are neither accepted nor left out.
-  std::size_t Backlog(milliseconds aTrueTime) const;
+  /// Number of windows that have ended and are neither accepted nor left out.
+  std::size_t Backlog(milliseconds aAgreedTime) const;
 
-  /// Records are kept in turn in so many keys; a window's is replaced long
-  /// after its report was due.
+  /// Number of keys that records are stored under in rotation; a window's
+  /// record is overwritten only long after its report was due.
   static constexpr std::size_t kSlots = 8;
   static std::string RecordKey(std::size_t aSlot);
   static std::string FloorKey();
   static std::string Prefix();
 
-  /// From a window's end until it is decided, so that the last counts are in.
+  /// Delay from a window's end until its report is decided, so that the last
+  /// counts can arrive.
   static constexpr milliseconds kSettleTime = milliseconds(700);
-  /// The same where somebody's counts are still missing.
-  static constexpr milliseconds kPatience = milliseconds(4000);
-  /// A report that is sent so shortly before it is due may come too late.
-  static constexpr milliseconds kLastMoment = milliseconds(300);
-  /// From a sending that failed to the next.
-  static constexpr milliseconds kResendAfter = milliseconds(500);
+  /// Delay after which it is decided even if counts are still missing.
+  static constexpr milliseconds kDecisionTimeout = milliseconds(4000);
+  /// A report is not sent within this time before it is due, as it might arrive
+  /// too late.
+  static constexpr milliseconds kSendMargin = milliseconds(300);
+  /// Delay between a failed send and the next.
+  static constexpr milliseconds kResendDelay = milliseconds(500);
 
 private:
   struct Record
@@ -122,14 +130,14 @@
 
   static std::size_t SlotOf(WindowId aWindow);
   UsageStep::Any NextOf(WindowId aWindow,
-                        milliseconds aTrueTime,
+                        milliseconds aAgreedTime,
                         const UsageView& aView);
   UsageStep::Any Decide(WindowId aWindow,
-                        milliseconds aTrueTime,
+                        milliseconds aAgreedTime,
                         const UsageView& aView);
   UsageStep::Any LeaveOut(WindowId aWindow, const char* aReason);
-  WindowId FirstWindow(milliseconds aTrueTime) const;
-  /// What is known of the store is in doubt: it is read before the next step.
+  WindowId FirstWindow(milliseconds aAgreedTime) const;
+  /// The stored state is uncertain: read it before the next step.
   void Reread() { this->isRead = false; }
 
   UsageSchedule schedule;
@@ -138,7 +146,7 @@
   UsageFloor floor;
   Revision floorRevision = 0;
   std::map<std::size_t, Record> records;
-  /// Accepted or left out.
+  /// Windows that were accepted or left out.
   std::set<WindowId> done;
   milliseconds resendAt{ 0 };
   std::uint64_t accepted = 0;
--- a/dogwoodvale/src/Duties/UsagePort.h
+++ b/dogwoodvale/src/Duties/UsagePort.h
@@ -8,36 +8,36 @@
 
 namespace dogwoodvale {
 
-/// Who carries out a duty, as its receiver is told.
+/// Identifies the holder of a duty to the receiver.
 struct DutyCredentials
 {
   InstanceName holder;
   FencingToken fencing = 0;
 };
 
-/// What became of a report that was sent.
+/// Result of sending a report.
 enum class ReportVerdict : std::uint8_t
 {
   Accepted,
   /// The receiver has seen a higher fencing token.
   Superseded,
-  /// It will not be accepted however often it is sent.
+  /// Permanent failure: a retry will not be accepted either.
   Rejected,
-  /// No answer, or one that says to try again. It may be taken in later.
+  /// No answer, or a retryable error. The report may still be accepted later.
   Failed,
 };
 
 std::string_view
 ReportVerdictName(ReportVerdict aVerdict);
 
-/// Where usage is reported.
+/// Receiver of usage reports.
 class UsagePort
 {
 public:
   using Handler = std::function<void(ReportVerdict, const absl::Status&)>;
 
   virtual ~UsagePort() = default;
-  /// Sends it once. Destroying the call drops the answer.
+  /// Sends the report once. Destroying the call drops the answer.
   [[nodiscard]] virtual std::unique_ptr<StoreCall> Send(
     const UsageReport& aReport,
     const DutyCredentials& aCredentials,
--- a/dogwoodvale/src/Duties/UsageReport.cpp
+++ b/dogwoodvale/src/Duties/UsageReport.cpp
@@ -31,12 +31,12 @@
   }
   const Json::Value& counts = (*parsed)["counts"];
   if (!counts.isObject()) {
-    return absl::DataLossError("\"counts\" is no object");
+    return absl::DataLossError("\"counts\" is not an object");
   }
   for (const std::string& customer : counts.getMemberNames()) {
     if (!counts[customer].isUInt64()) {
       return MakeError(absl::StatusCode::kDataLoss,
-                       "the count of \"{}\" is no whole number",
+                       "the count of \"{}\" is not an unsigned integer",
                        customer);
     }
     report.counts[CustomerName(customer)] = counts[customer].asUInt64();
--- a/dogwoodvale/src/Duties/UsageReport.h
+++ b/dogwoodvale/src/Duties/UsageReport.h
@@ -10,10 +10,10 @@
 
 namespace dogwoodvale {
 
-/// Requests of each customer that began to run in one window.
+/// Number of requests per customer that began to run in one window.
 using UsageCounts = std::map<CustomerName, std::uint64_t>;
 
-/// What is reported of one window; never two different ones of the same.
+/// The usage report of one window; all reports of a window are identical.
 struct UsageReport
 {
   WindowId window = 0;
@@ -22,8 +22,9 @@
   bool operator==(const UsageReport&) const = default;
 };
 
-/// The first window of a store's era that may be decided: what was decided of
-/// earlier ones may have been sent and then lost with the store's data.
+/// The first window of a store's era whose report may be decided. Reports of
+/// earlier windows may have been sent and their records lost with the store's
+/// data.
 struct UsageFloor
 {
   StoreEra era = 0;
@@ -32,14 +33,16 @@
   bool operator==(const UsageFloor&) const = default;
 };
 
-/// A report as it is kept in the store, in JSON.
+/// The report as stored, in JSON.
 std::string
 WriteUsageReport(const UsageReport& aReport);
 
-/// \return DataLoss for what no process of this version writes.
+/// \return an error, DataLoss for wrong counts, if the text was not written by
+/// this version.
 absl::StatusOr<UsageReport>
 ReadUsageReport(std::string_view aText);
 
+/// The floor as stored, in JSON.
 std::string
 WriteUsageFloor(const UsageFloor& aFloor);
 
--- a/dogwoodvale/src/Duties/UsageReporter.cpp
+++ b/dogwoodvale/src/Duties/UsageReporter.cpp
@@ -6,10 +6,10 @@
 
 namespace {
 
-/// How long before its lease lapses a holder sends nothing more.
+/// The holder stops sending one sixth of a lease before the lease expires.
 constexpr int kMarginsPerLease = 6;
-/// A holder that has handed over stays away for so many leases.
-constexpr int kLeasesAway = 2;
+/// Back-off of a holder that has handed over, in lease durations.
+constexpr int kBackOffLeases = 2;
 
 } // namespace
 
@@ -50,45 +50,45 @@
 
 void
 UsageReporter::Tend(TimePoint aNow,
-                    milliseconds aTrueTime,
-                    bool aMayStand,
+                    milliseconds aAgreedTime,
+                    bool aMayAcquire,
                     const UsageView& aView)
 {
-  this->trueTime = aTrueTime;
+  this->trueTime = aAgreedTime;
   if (this->stopped) {
     return;
   }
   if (this->Holds()) {
-    this->Step(aNow, aTrueTime, aView);
+    this->Step(aNow, aAgreedTime, aView);
     return;
   }
-  const bool stands = aMayStand && this->election.ShouldStand(aNow);
-  if (stands && !this->lease.IsWanted()) {
+  const bool shouldAcquire = aMayAcquire && this->election.ShouldAcquire(aNow);
+  if (shouldAcquire && !this->lease.IsWanted()) {
     this->lease.Acquire();
-  } else if (!stands && this->lease.IsWanted()) {
+  } else if (!shouldAcquire && this->lease.IsWanted()) {
     this->lease.Release();
   }
 }
 
 void
 UsageReporter::Step(TimePoint aNow,
-                    milliseconds aTrueTime,
+                    milliseconds aAgreedTime,
                     const UsageView& aView)
 {
   if (this->call != nullptr || !this->lease.MayOrder(aNow)) {
     return;
   }
-  std::visit([this](const auto& aStep) { this->Take(aStep); },
-             this->plan.Next(aTrueTime, aView));
+  std::visit([this](const auto& aStep) { this->Execute(aStep); },
+             this->plan.Next(aAgreedTime, aView));
 }
 
 void
-UsageReporter::Take(const UsageStep::Wait& /*aStep*/)
+UsageReporter::Execute(const UsageStep::Wait& /*aStep*/)
 {
 }
 
 void
-UsageReporter::Take(const UsageStep::ReadRecords& /*aStep*/)
+UsageReporter::Execute(const UsageStep::ReadRecords& /*aStep*/)
 {
   RangeQuery query;
   query.key = UsagePlan::Prefix();
@@ -124,14 +124,14 @@
   transaction.then.push_back(std::move(put));
   this->call = this->store.Commit(
     transaction,
-    [this, told = std::move(aHandler)](const WriteResult& aResult) {
+    [this, handler = std::move(aHandler)](const WriteResult& aResult) {
       const std::unique_ptr<StoreCall> ended = std::move(this->call);
-      told(aResult);
+      handler(aResult);
     });
 }
 
 void
-UsageReporter::Take(const UsageStep::WriteFloor& aStep)
+UsageReporter::Execute(const UsageStep::WriteFloor& aStep)
 {
   this->Write(UsagePlan::FloorKey(),
               aStep.replaces,
@@ -150,7 +150,7 @@
 }
 
 void
-UsageReporter::Take(const UsageStep::WriteRecord& aStep)
+UsageReporter::Execute(const UsageStep::WriteRecord& aStep)
 {
   this->Write(UsagePlan::RecordKey(aStep.slot),
               aStep.replaces,
@@ -171,7 +171,7 @@
 }
 
 void
-UsageReporter::Take(const UsageStep::SendReport& aStep)
+UsageReporter::Execute(const UsageStep::SendReport& aStep)
 {
   this->call = this->port.Send(
     aStep.report,
@@ -184,7 +184,7 @@
 }
 
 void
-UsageReporter::Take(const UsageStep::LeaveOut& aStep)
+UsageReporter::Execute(const UsageStep::LeaveOut& aStep)
 {
   Log(LogLevel::Warning,
       "usage_left_out",
@@ -221,10 +221,10 @@
     this->failingSince = now;
   }
   if (aVerdict == ReportVerdict::Superseded) {
-    this->HandOver("another holder was seen");
+    this->HandOver("the receiver has seen a newer holder");
   } else if (this->failingSince &&
-             Between(*this->failingSince, now) > kReceiverPatience) {
-    this->HandOver("reports are not answered");
+             Between(*this->failingSince, now) > kReceiverTimeout) {
+    this->HandOver("reports to the receiver keep failing");
   }
 }
 
@@ -240,7 +240,7 @@
       "reason",
       aReason);
   this->failingSince.reset();
-  this->election.StandBack(Now() + kLeasesAway * this->options.lease);
+  this->election.BackOffUntil(Now() + kBackOffLeases * this->options.lease);
   this->lease.Release();
   this->plan.OnLost();
 }
@@ -278,9 +278,9 @@
   this->call.reset();
   this->failingSince.reset();
   this->plan.OnLost();
-  // Two holders that take turns within one lease could not be told from two
-  // that both believe that they hold it.
-  this->election.StandBack(Now() + this->options.lease);
+  // Without this back-off two holders could alternate within one lease, which
+  // observers can't distinguish from two that both believe they hold it.
+  this->election.BackOffUntil(Now() + this->options.lease);
   this->lease.Release();
 }
 
--- a/dogwoodvale/src/Duties/UsageReporter.h
+++ b/dogwoodvale/src/Duties/UsageReporter.h
@@ -8,19 +8,20 @@
 
 namespace dogwoodvale {
 
-/// Carries out the usage duty while this process holds it: stands for it,
-/// renews its lease, keeps and sends reports as UsagePlan says.
+/// Acquires the usage duty, renews its lease and, while this process holds it,
+/// stores and sends reports as UsagePlan decides.
 class UsageReporter final : public SlotLeaseObserver
 {
 public:
   struct Options
   {
     UsageSchedule schedule;
-    /// How long a holder that is not heard of stays the holder.
+    /// Time to live of the lease: how long an unreachable holder keeps the
+    /// duty.
     Duration lease = seconds(3);
   };
 
-  /// \param aSelf names this process to the receiver and the other processes.
+  /// \param aSelf this process's name for the receiver and other processes.
   UsageReporter(EventLoop& aLoop,
                 StoreClient& aStore,
                 UsagePort& aPort,
@@ -28,23 +29,24 @@
                 Incarnation aIncarnation,
                 Options aOptions);
 
-  /// Another process that may hold the duty gave a sign of life.
+  /// A heartbeat arrived from another process that is eligible for the duty.
   void OnHeard(const InstanceName& aProcess, bool aHolds, TimePoint aNow);
   /// Call a few times a second.
-  /// \param aMayStand whether this process is one of those that hold the duty.
+  /// \param aAgreedTime agreed time since 1970, see TimeAgreement.
+  /// \param aMayAcquire whether this process is eligible for the duty.
   void Tend(TimePoint aNow,
-            milliseconds aTrueTime,
-            bool aMayStand,
+            milliseconds aAgreedTime,
+            bool aMayAcquire,
             const UsageView& aView);
-  /// Hands over, for a planned stop.
+  /// Hands the duty over, for a planned stop.
   void Stop();
 
   bool Holds() const { return this->lease.IsHeld(); }
-  /// Holds it and may act on it now.
+  /// Whether this process holds the duty and its lease is safely valid now.
   bool IsActive(TimePoint aNow) const { return this->lease.MayOrder(aNow); }
   FencingToken Fencing() const { return this->lease.Fencing(); }
   TimePoint HeldSince() const { return this->lease.AcquiredAt(); }
-  /// The holder as this process knows it.
+  /// The holder as known to this process.
   std::optional<InstanceName> Holder() const;
   const UsagePlan& Plan() const { return this->plan; }
 
@@ -52,18 +54,19 @@
   void OnSlotLost() override;
 
   static constexpr std::string_view kLeaseKey = "dogwoodvale/duties/usage";
-  /// A holder whose reports are not answered for so long lets another try.
-  static constexpr Duration kReceiverPatience = seconds(4);
+  /// A holder hands over after its reports have failed for this long.
+  static constexpr Duration kReceiverTimeout = seconds(4);
 
 private:
-  void Step(TimePoint aNow, milliseconds aTrueTime, const UsageView& aView);
-  void Take(const UsageStep::Wait& aStep);
-  void Take(const UsageStep::ReadRecords& aStep);
-  void Take(const UsageStep::WriteFloor& aStep);
-  void Take(const UsageStep::WriteRecord& aStep);
-  void Take(const UsageStep::SendReport& aStep);
-  void Take(const UsageStep::LeaveOut& aStep);
-  /// A write that takes effect only while the lease's key is this process's.
+  void Step(TimePoint aNow, milliseconds aAgreedTime, const UsageView& aView);
+  void Execute(const UsageStep::Wait& aStep);
+  void Execute(const UsageStep::ReadRecords& aStep);
+  void Execute(const UsageStep::WriteFloor& aStep);
+  void Execute(const UsageStep::WriteRecord& aStep);
+  void Execute(const UsageStep::SendReport& aStep);
+  void Execute(const UsageStep::LeaveOut& aStep);
+  /// Writes if \p aKey is at revision \p aReplaces and this process still owns
+  /// the lease's key.
   void Write(const std::string& aKey,
              Revision aReplaces,
              const std::string& aValue,
@@ -80,9 +83,9 @@
   DutyElection election;
   UsagePlan plan;
   SlotLease lease;
-  /// The one call under way, to the store or to the receiver.
+  /// The only call in flight, to the store or to the receiver.
   std::unique_ptr<StoreCall> call;
-  /// Since when reports have failed without a break.
+  /// Start of the current run of failed reports.
   std::optional<TimePoint> failingSince;
   milliseconds trueTime{ 0 };
   bool stopped = false;
--- a/dogwoodvale/src/Duties/UsageSchedule.h
+++ b/dogwoodvale/src/Duties/UsageSchedule.h
@@ -5,22 +5,22 @@
 
 namespace dogwoodvale {
 
-/// Numbers the spans of true time over which usage is counted: window k begins
-/// k lengths after the start of 1970.
+/// Index of a window, the period of agreed time over which usage is counted:
+/// window k begins k window lengths after the start of 1970.
 using WindowId = std::int64_t;
 
-/// When usage is counted and when its report is due.
+/// Length of the windows and due time of their reports.
 struct UsageSchedule
 {
-  /// Positive.
+  /// Length of a window; positive.
   Duration window = seconds(5);
-  /// From a window's end until its report is due.
+  /// Time from a window's end until its report is due.
   Duration due = seconds(10);
 
-  /// \param aTrueTime since 1970.
-  WindowId WindowAt(milliseconds aTrueTime) const
+  /// \param aAgreedTime since 1970.
+  WindowId WindowAt(milliseconds aAgreedTime) const
   {
-    return Duration(aTrueTime) / this->window;
+    return Duration(aAgreedTime) / this->window;
   }
   milliseconds BeginOf(WindowId aWindow) const
   {
--- a/dogwoodvale/src/Membership/BackendDirectory.cpp
+++ b/dogwoodvale/src/Membership/BackendDirectory.cpp
@@ -14,9 +14,9 @@
 BackendDirectory::AddStatic(const StaticInstance& aInstance)
 {
   Entry entry{ .record = {},
-               .backoff = { this->bounds.firstRetry,
-                            this->bounds.longestRetry },
-               .gone = {},
+               .backoff = { this->bounds.initialRetryDelay,
+                            this->bounds.maxRetryDelay },
+               .goAways = {},
                .absentSince = {} };
   entry.record.name = aInstance.name;
   entry.record.service = ServiceName(aInstance.service);
@@ -43,7 +43,7 @@
       entry.absentSince = aNow;
     }
   }
-  this->DropForgotten(aNow);
+  this->EvictAbsent(aNow);
 }
 
 void
@@ -52,9 +52,9 @@
   auto found = this->entries.find(aListed.name);
   if (found == this->entries.end()) {
     Entry entry{ .record = {},
-                 .backoff = { this->bounds.firstRetry,
-                              this->bounds.longestRetry },
-                 .gone = {},
+                 .backoff = { this->bounds.initialRetryDelay,
+                              this->bounds.maxRetryDelay },
+                 .goAways = {},
                  .absentSince = {} };
     entry.record.name = aListed.name;
     found = this->entries.emplace(aListed.name, std::move(entry)).first;
@@ -65,7 +65,7 @@
   record.dataCentre = aListed.dataCentre;
   record.region = aListed.region;
   if (record.address != aListed.address) {
-    // Another machine: what failed at the old address says nothing of it.
+    // A different machine: failures at the old address don't apply to it.
     record.address = aListed.address;
     record.failures = 0;
     record.retryAt = TimePoint{};
@@ -89,23 +89,23 @@
 BackendDirectory::UpdateLeaving(Entry& aEntry)
 {
   BackendRecord& record = aEntry.record;
-  const bool saidGoAway =
-    std::find(aEntry.gone.begin(), aEntry.gone.end(), record.incarnation) !=
-    aEntry.gone.end();
-  // The list is late: it speaks of the incarnation that stood there when it
-  // first said leaving, not of one that said hello since.
+  const bool sentGoAway = std::find(aEntry.goAways.begin(),
+                                    aEntry.goAways.end(),
+                                    record.incarnation) != aEntry.goAways.end();
+  // The list may be out of date: `leaving` refers to the incarnation known when
+  // the list first reported it, not to one that has sent a hello since.
   const bool listed =
     aEntry.listLeaving && aEntry.listLeavingIncarnation == record.incarnation;
-  record.leaving = saidGoAway || listed;
+  record.leaving = sentGoAway || listed;
 }
 
 void
-BackendDirectory::DropForgotten(TimePoint aNow)
+BackendDirectory::EvictAbsent(TimePoint aNow)
 {
   std::erase_if(this->entries, [&](const auto& aItem) {
     const Entry& entry = aItem.second;
     return !entry.isStatic && !entry.record.connected && entry.absentSince &&
-           aNow - *entry.absentSince >= this->bounds.forgetAfter;
+           aNow - *entry.absentSince >= this->bounds.evictAfter;
   });
 }
 
@@ -119,7 +119,7 @@
   }
   BackendRecord& record = entry->record;
   if (record.incarnation == 0 && entry->listLeaving) {
-    // Never met before, so it may well be the one that the list means.
+    // First hello from this instance: assume that the list refers to it.
     entry->listLeavingIncarnation = aIncarnation;
   }
   record.incarnation = aIncarnation;
@@ -134,7 +134,7 @@
                             TimePoint aNow,
                             double aUniform)
 {
-  this->Fail(aName, aNow, aUniform);
+  this->OnFailure(aName, aNow, aUniform);
 }
 
 void
@@ -142,13 +142,13 @@
                              TimePoint aNow,
                              double aUniform)
 {
-  this->Fail(aName, aNow, aUniform);
+  this->OnFailure(aName, aNow, aUniform);
 }
 
 void
-BackendDirectory::Fail(const InstanceName& aName,
-                       TimePoint aNow,
-                       double aUniform)
+BackendDirectory::OnFailure(const InstanceName& aName,
+                            TimePoint aNow,
+                            double aUniform)
 {
   Entry* entry = this->FindEntry(aName);
   if (entry == nullptr) {
@@ -166,12 +166,13 @@
   if (entry == nullptr) {
     return;
   }
-  std::vector<Incarnation>& gone = entry->gone;
-  if (std::find(gone.begin(), gone.end(), aIncarnation) == gone.end()) {
-    if (gone.size() == kMostGone) {
-      gone.erase(gone.begin());
+  std::vector<Incarnation>& goAways = entry->goAways;
+  if (std::find(goAways.begin(), goAways.end(), aIncarnation) ==
+      goAways.end()) {
+    if (goAways.size() == kMaxGoAways) {
+      goAways.erase(goAways.begin());
     }
-    gone.push_back(aIncarnation);
+    goAways.push_back(aIncarnation);
   }
   UpdateLeaving(*entry);
 }
--- a/dogwoodvale/src/Membership/BackendDirectory.h
+++ b/dogwoodvale/src/Membership/BackendDirectory.h
@@ -12,20 +12,21 @@
 
 namespace dogwoodvale {
 
-/// When a directory gives up on an instance and when it tries again.
+/// Retry and eviction settings of a BackendDirectory.
 struct DirectoryBounds
 {
-  /// An instance that a received list no longer names, and that can't be
-  /// reached, is dropped after this long.
-  Duration forgetAfter = seconds(60);
-  Duration firstRetry = milliseconds(100);
-  Duration longestRetry = seconds(5);
-  /// From this many failures in a row an instance is no candidate until its
-  /// next trial is due; one failure alone doesn't disturb the subset.
+  /// An instance that is absent from the received lists and not connected is
+  /// evicted after this long.
+  Duration evictAfter = seconds(60);
+  /// Bounds of the back-off between connection attempts.
+  Duration initialRetryDelay = milliseconds(100);
+  Duration maxRetryDelay = seconds(5);
+  /// After this many consecutive failures an instance is no candidate until its
+  /// next probe is due; a single failure doesn't change the subset.
   int failuresToDrop = 2;
 };
 
-/// What is known of one sidecar.
+/// State of one sidecar as known to this process.
 struct BackendRecord
 {
   InstanceName name;
@@ -33,55 +34,57 @@
   DataCentreName dataCentre;
   RegionName region;
   SocketAddress address;
-  /// The newest one seen in a hello; 0 before the first.
+  /// From the latest hello; 0 before the first.
   Incarnation incarnation = 0;
   bool connected = false;
   bool leaving = false;
+  /// Consecutive failures to connect or keep the connection.
   int failures = 0;
-  /// No connection attempt before this.
+  /// Earliest time of the next connection attempt.
   TimePoint retryAt;
 };
 
-/// The sidecars that an entry knows, by service.
+/// The sidecars known to an entry, by service.
 ///
-/// The platform's list only adds candidates and marks some as leaving; it is
-/// late. What this process sees for itself (a hello, a refusal, a go-away, a
-/// timeout) wins for failure and leaving.
+/// The platform's list adds candidates and marks instances as leaving, but may
+/// be out of date. For failures and leaving, this process's own observations
+/// (hello, refusal, go-away, time-out) take precedence over it.
 class BackendDirectory
 {
 public:
   explicit BackendDirectory(const DirectoryBounds& aBounds);
 
-  /// An instance from the settings; never forgotten.
+  /// Adds an instance from the settings; it is never evicted.
   void AddStatic(const StaticInstance& aInstance);
 
-  /// A list that was received whole. When the list is down, don't call: an
-  /// empty list and no list are not the same.
+  /// A complete list was received. Don't call while the list is unavailable: an
+  /// empty list marks all instances as absent.
   void OnList(std::span<const ListedInstance> aList, TimePoint aNow);
 
-  /// A hello was checked. Clears leaving if the incarnation is one that never
-  /// said go-away.
+  /// A valid hello was received. Clears `leaving` unless this incarnation sent
+  /// a go-away or is the one that the list marked as leaving.
   void OnConnected(const InstanceName& aName, Incarnation aIncarnation);
-  /// It refuses connections, or its connection was lost.
+  /// The instance refused a connection, or its connection was lost.
+  /// \param aUniform random, in [0, 1), for the back-off's jitter.
   void OnRefused(const InstanceName& aName, TimePoint aNow, double aUniform);
-  /// It was silent for longer than the heartbeat timeout.
+  /// Nothing was received for longer than the heartbeat time-out.
   void OnTimedOut(const InstanceName& aName, TimePoint aNow, double aUniform);
-  /// Its incarnation \p aIncarnation takes no new work, for good.
+  /// Incarnation \p aIncarnation accepts no more work, permanently.
   void OnGoAway(const InstanceName& aName, Incarnation aIncarnation);
-  /// Its connection was closed on purpose by this side (left the subset).
+  /// This side closed the connection since the instance left the subset.
   void OnDisconnected(const InstanceName& aName);
 
-  /// Names for the subset choice, sorted: not leaving and, if they failed,
-  /// due for a trial.
+  /// Instances eligible for the subset, sorted by name: not leaving and, after
+  /// repeated failures, due for a probe.
   std::vector<InstanceName> Candidates(const ServiceName& aService,
                                        TimePoint aNow) const;
-  /// Those that new work may go to: connected and not leaving.
+  /// Instances that accept new work: connected and not leaving.
   std::vector<InstanceName> Usable(const ServiceName& aService) const;
-  /// Not connected, and due for a connection attempt. Leaving ones are tried
-  /// too, at their backoff, as only a hello shows a new incarnation.
+  /// Whether the instance is not connected and its back-off has elapsed. Also
+  /// true for leaving instances, as only a hello reveals a new incarnation.
   bool MayConnect(const InstanceName& aName, TimePoint aNow) const;
-  /// Leaving instances with no connection whose trial is due; the caller
-  /// connects to learn whether a new incarnation stands there.
+  /// Leaving, unconnected instances whose probe is due. The caller connects to
+  /// find out whether a new incarnation is running there.
   std::vector<InstanceName> DueForTrial(const ServiceName& aService,
                                         TimePoint aNow) const;
 
@@ -97,21 +100,21 @@
     Backoff backoff;
     bool isStatic = false;
     bool listLeaving = false;
-    /// The incarnation that stood there when the list said leaving.
+    /// The known incarnation when the list first marked it as leaving.
     Incarnation listLeavingIncarnation = 0;
-    /// Incarnations that said go-away, newest last, bounded.
-    std::vector<Incarnation> gone;
-    /// When a list first failed to name it.
+    /// Incarnations that sent a go-away, newest last; at most kMaxGoAways.
+    std::vector<Incarnation> goAways;
+    /// When the instance was first absent from a list.
     std::optional<TimePoint> absentSince;
   };
 
-  static constexpr std::size_t kMostGone = 8;
+  static constexpr std::size_t kMaxGoAways = 8;
 
   Entry* FindEntry(const InstanceName& aName);
   void AddListed(const ListedInstance& aListed);
   void MarkLeaving(Entry& aEntry, ListedState aState);
-  void DropForgotten(TimePoint aNow);
-  void Fail(const InstanceName& aName, TimePoint aNow, double aUniform);
+  void EvictAbsent(TimePoint aNow);
+  void OnFailure(const InstanceName& aName, TimePoint aNow, double aUniform);
   static void UpdateLeaving(Entry& aEntry);
   bool IsCandidate(const Entry& aEntry, TimePoint aNow) const;
 
--- a/dogwoodvale/src/Membership/Backoff.h
+++ b/dogwoodvale/src/Membership/Backoff.h
@@ -7,24 +7,24 @@
 
 namespace dogwoodvale {
 
-/// Exponential backoff with full jitter above half the step, so that many
-/// processes that failed together do not come back together.
+/// Exponential back-off with jitter over the upper half of each step, so that
+/// processes that failed at the same time don't retry at the same time.
 class Backoff
 {
 public:
-  Backoff(Duration aFirst, Duration aMost)
+  Backoff(Duration aFirst, Duration aMax)
     : first(aFirst)
-    , most(aMost)
+    , max(aMax)
   {
   }
 
-  /// The delay before the next try; doubles with each call.
+  /// The delay before the next attempt; doubles with each call up to the
+  /// maximum.
   /// \param aUniform random, in [0, 1).
   Duration Next(double aUniform)
   {
-    const Duration step =
-      std::min(this->most, this->first * (1 << this->steps));
-    this->steps = std::min(this->steps + 1, kMostSteps);
+    const Duration step = std::min(this->max, this->first * (1 << this->steps));
+    this->steps = std::min(this->steps + 1, kMaxSteps);
     const double share = (1.0 + aUniform) / 2;
     return Duration(
       static_cast<Duration::rep>(static_cast<double>(step.count()) * share));
@@ -34,9 +34,9 @@
   int Failures() const { return this->steps; }
 
 private:
-  static constexpr int kMostSteps = 16;
+  static constexpr int kMaxSteps = 16;
   Duration first;
-  Duration most;
+  Duration max;
   int steps = 0;
 };
 
--- a/dogwoodvale/src/Membership/ListedInstance.h
+++ b/dogwoodvale/src/Membership/ListedInstance.h
@@ -13,7 +13,7 @@
   Leaving,
 };
 
-/// One line of the platform's list; true some time ago.
+/// One item of the platform's list of instances, which may be out of date.
 struct ListedInstance
 {
   InstanceName name;
@@ -22,7 +22,7 @@
   ServiceName service;
   DataCentreName dataCentre;
   RegionName region;
-  /// Where its peers reach it.
+  /// The address for connections from its peers.
   SocketAddress address;
   ListedState state = ListedState::Live;
 
--- a/dogwoodvale/src/Membership/WatcherElection.cpp
+++ b/dogwoodvale/src/Membership/WatcherElection.cpp
@@ -8,10 +8,12 @@
 
 namespace {
 
-/// A peer's contact must be newer than one's own by more than the rounding of
-/// ages in notices, else it may be an echo of one's own.
+/// A peer's contact must be newer than this process's by more than the
+/// rounding of ages in digests; otherwise it may be this process's own contact,
+/// passed back by the peer.
 constexpr Duration kEchoMargin = milliseconds(20);
-constexpr Duration kLongestAge = std::chrono::hours(24);
+/// Older contacts are ignored.
+constexpr Duration kMaxContactAge = std::chrono::hours(24);
 
 std::uint64_t
 RankOf(const InstanceName& aName)
@@ -58,7 +60,7 @@
 void
 WatcherElection::OnPeerContact(Duration aAge, TimePoint aNow)
 {
-  if (aAge >= kLongestAge) {
+  if (aAge >= kMaxContactAge) {
     return;
   }
   const TimePoint when = aNow - aAge;
@@ -106,8 +108,9 @@
     const bool othersReachIt =
       this->peerContact && this->ownContact &&
       *this->peerContact > *this->ownContact + kEchoMargin;
-    // By chance, so that two volunteers who see each other don't both leave.
-    if (othersReachIt && aUniform < this->bounds.stepDown) {
+    // Randomised, so that two volunteers that know of each other don't both
+    // step down.
+    if (othersReachIt && aUniform < this->bounds.stepDownChance) {
       this->volunteer = false;
     }
     return;
@@ -117,7 +120,7 @@
   }
   const double share = static_cast<double>(this->bounds.watchers) /
                        static_cast<double>(this->instances);
-  this->volunteer = aUniform < std::min(share, this->bounds.mostVolunteer);
+  this->volunteer = aUniform < std::min(share, this->bounds.maxVolunteerChance);
 }
 
 } // namespace dogwoodvale
--- a/dogwoodvale/src/Membership/WatcherElection.h
+++ b/dogwoodvale/src/Membership/WatcherElection.h
@@ -9,28 +9,28 @@
 
 namespace dogwoodvale {
 
-/// How many processes watch the store, and when others step in.
+/// Number of processes that watch the store, and when others volunteer.
 struct WatcherBounds
 {
-  /// Watchers in each data centre.
+  /// Watchers per data centre.
   std::size_t watchers = 2;
-  /// When nobody is known to have reached the store for this long, some
-  /// volunteer.
+  /// Processes volunteer if no contact with the store is known for this long.
   Duration staleAfter = seconds(10);
-  /// Share of the volunteers that step down on a tick, once others are known
-  /// to reach the store.
-  double stepDown = 0.25;
-  /// Bound on the chance to volunteer on one tick.
-  double mostVolunteer = 0.2;
+  /// Probability per tick that a volunteer steps down, once others are known to
+  /// reach the store.
+  double stepDownChance = 0.25;
+  /// Upper bound of the probability to volunteer on one tick.
+  double maxVolunteerChance = 0.2;
 };
 
 /// Decides whether this process watches the store.
 ///
 /// Every process ranks the live instances of its data centre by a hash of
-/// their names; the first few watch. A late list may name only dead ones, so
-/// processes also pass on the age of the newest contact with the store; when
-/// it grows too old, each volunteers by chance (as many in all as the rank
-/// would have given), and steps down again once others reach the store.
+/// their names; the first WatcherBounds::watchers of them watch. An outdated
+/// list may name only dead instances, so processes also exchange the age of the
+/// latest contact with the store. When that is too old, each process volunteers
+/// at random (on average as many as would watch by rank), and steps down again
+/// once others reach the store.
 class WatcherElection
 {
 public:
@@ -39,19 +39,19 @@
                   const WatcherBounds& aBounds,
                   TimePoint aNow);
 
-  /// Peers tell their contacts this often; a contact counts as stale only
-  /// after several of these periods.
+  /// Period at which peers exchange contact ages; a contact is stale no earlier
+  /// than after four periods.
   void SetContactPeriod(Duration aPeriod) { this->contactPeriod = aPeriod; }
-  /// There is no list to come: a small site, where every process watches.
+  /// No list will be received (a small site): every process watches.
   void SetNoList();
   void OnList(std::span<const ListedInstance> aList);
-  /// A peer knows of a contact with the store that is \p aAge old; nothing
-  /// happens if that is kUnknownContact.
+  /// A peer knows of a contact with the store that is \p aAge old; ignored if
+  /// kUnknownContact or older than 24 h.
   void OnPeerContact(Duration aAge, TimePoint aNow);
   /// This process got an answer from the store.
   void OnOwnContact(TimePoint aNow);
-  /// This process tried and got none. A volunteer steps down at once, so that
-  /// an outage does not turn the whole fleet into callers.
+  /// The store did not answer this process. A volunteer steps down at once, so
+  /// that in an outage the number of processes that call the store stays small.
   void OnOwnFailure();
 
   /// Call about once a second. \param aUniform random, in [0, 1).
@@ -59,8 +59,9 @@
 
   bool ShouldWatch() const { return this->ranked || this->volunteer; }
   bool IsVolunteer() const { return this->volunteer; }
-  /// For notices: the age of the newest contact known here; kUnknownContact if
-  /// none is. A fresh process must not pass its own start off as a contact.
+  /// Age of the latest known contact, to send to peers; kUnknownContact if
+  /// there is none. A process that just started must not report its start as a
+  /// contact.
   Duration ContactAge(TimePoint aNow) const;
 
   static constexpr Duration kUnknownContact = Duration::max();
--- a/dogwoodvale/src/Requests/AnswerAssembler.cpp
+++ b/dogwoodvale/src/Requests/AnswerAssembler.cpp
@@ -2,8 +2,8 @@
 
 namespace dogwoodvale {
 
-AnswerAssembler::AnswerAssembler(std::size_t aKeepBytes)
-  : keepBytes(aKeepBytes)
+AnswerAssembler::AnswerAssembler(std::size_t aMaxResumeBytes)
+  : maxResumeBytes(aMaxResumeBytes)
 {
 }
 
@@ -29,11 +29,11 @@
     return receiving;
   }
   if (aSequence != this->digest->Count()) {
-    return this->Break("chunk out of sequence");
+    return this->Fail("chunk out of sequence");
   }
   this->digest->Add(aChunk);
   this->deliveredTokens += aTokens;
-  this->Keep(aChunk);
+  this->Buffer(aChunk);
   return absl::OkStatus();
 }
 
@@ -47,10 +47,10 @@
     return receiving;
   }
   if (aCount != this->digest->Count()) {
-    return this->Break("wrong count of chunks");
+    return this->Fail("chunk count mismatch");
   }
   if (aChecksum != this->digest->Value()) {
-    return this->Break("wrong checksum");
+    return this->Fail("checksum mismatch");
   }
   this->state = State::Complete;
   return absl::OkStatus();
@@ -61,7 +61,7 @@
 {
   if (this->state == State::Idle || aId != this->id) {
     return MakeError(absl::StatusCode::kFailedPrecondition,
-                     "chunk of another attempt, {}",
+                     "chunk belongs to another attempt, {}",
                      dogwoodvale::ToString(aId));
   }
   if (this->state != State::Receiving) {
@@ -73,9 +73,9 @@
 }
 
 absl::Status
-AnswerAssembler::Break(std::string_view aWhat)
+AnswerAssembler::Fail(std::string_view aWhat)
 {
-  this->state = State::Broken;
+  this->state = State::Failed;
   return MakeError(absl::StatusCode::kDataLoss,
                    "{} after {} chunks of {}",
                    aWhat,
@@ -84,12 +84,12 @@
 }
 
 void
-AnswerAssembler::Keep(std::string_view aChunk)
+AnswerAssembler::Buffer(std::string_view aChunk)
 {
   if (this->overflowed) {
     return;
   }
-  if (this->delivered.size() + aChunk.size() > this->keepBytes) {
+  if (this->delivered.size() + aChunk.size() > this->maxResumeBytes) {
     this->overflowed = true;
     this->delivered.clear();
     this->delivered.shrink_to_fit();
--- a/dogwoodvale/src/Requests/AnswerAssembler.h
+++ b/dogwoodvale/src/Requests/AnswerAssembler.h
@@ -12,40 +12,43 @@
 
 namespace dogwoodvale {
 
-/// Checks that the chunks of an answer are all there, in order and the
-/// request's own, over one or more attempts.
+/// Verifies that the chunks of an answer are complete, in order and belong to
+/// the request, over one or more attempts.
 ///
-/// Call BeginAttempt() first; a later attempt resumes after what was delivered.
+/// Call BeginAttempt() first; a later attempt continues after the chunks that
+/// were already delivered.
 class AnswerAssembler
 {
 public:
-  /// \param aKeepBytes the most text kept for a resume; an answer that grows
-  /// beyond it can't be resumed, but is checked all the same.
-  explicit AnswerAssembler(std::size_t aKeepBytes);
+  /// \param aMaxResumeBytes size limit of the text buffered for a resume; a
+  /// longer answer can't be resumed, but is still verified.
+  explicit AnswerAssembler(std::size_t aMaxResumeBytes);
 
-  /// From now on only chunks of \p aId are taken, counted from 0 again.
+  /// Starts an attempt: only chunks of \p aId are accepted from here on, and
+  /// their sequence numbers start at 0. No effect on a complete answer.
   void BeginAttempt(const RequestId& aId);
 
-  /// Takes the next chunk. \return OK when it may be delivered to the caller;
-  /// DataLoss for a gap, a duplicate or a chunk after the end, which ends the
-  /// attempt; FailedPrecondition for a chunk of another id, which is late or
-  /// crossed and changes nothing.
+  /// Adds the next chunk. \return OK if it may be delivered to the caller;
+  /// DataLoss for a gap, a duplicate or a chunk after the end, which fails the
+  /// attempt; FailedPrecondition for a chunk of another id (late or
+  /// misdirected), which changes nothing.
   absl::Status Add(const RequestId& aId,
                    std::uint64_t aSequence,
                    std::string_view aChunk,
                    std::uint32_t aTokens);
 
-  /// The attempt's end. \return OK only when count and checksum both fit; only
-  /// then may the caller's answer end as complete. Other codes as in Add().
+  /// Ends the attempt. \return OK only if chunk count and checksum both match;
+  /// only then may the caller's answer end as complete. Other codes as in
+  /// Add().
   absl::Status Finish(const RequestId& aId,
                       std::uint64_t aCount,
                       std::uint64_t aChecksum);
 
   bool IsComplete() const { return this->state == State::Complete; }
 
-  /// Whether all that was delivered is still kept.
+  /// Whether the answer is incomplete and all delivered text is still buffered.
   bool CanResume() const { return !this->overflowed && !this->IsComplete(); }
-  /// All chunks delivered, over all attempts; empty when there were too many.
+  /// Text delivered over all attempts; empty if it exceeded the size limit.
   std::string_view Delivered() const { return this->delivered; }
   std::uint64_t DeliveredTokens() const { return this->deliveredTokens; }
 
@@ -54,15 +57,15 @@
   {
     Idle,
     Receiving,
-    Broken,
+    Failed,
     Complete,
   };
 
   absl::Status CheckReceiving(const RequestId& aId) const;
-  absl::Status Break(std::string_view aWhat);
-  void Keep(std::string_view aChunk);
+  absl::Status Fail(std::string_view aWhat);
+  void Buffer(std::string_view aChunk);
 
-  std::size_t keepBytes;
+  std::size_t maxResumeBytes;
   State state = State::Idle;
   RequestId id;
   std::optional<AnswerDigest> digest;
--- a/dogwoodvale/src/Requests/AnswerDigest.h
+++ b/dogwoodvale/src/Requests/AnswerDigest.h
@@ -11,11 +11,11 @@
 
 namespace dogwoodvale {
 
-/// Running checksum and count over the chunks of one answer: the sidecar
-/// writes them into the last message, the entry checks them.
+/// Running checksum (XXH3, 64 bits) and count over the chunks of one answer.
+/// The sidecar sends both in the last message, the entry verifies them.
 ///
-/// The request's id is part of the checksum, so that the end of another
-/// request's answer fits no answer but its own.
+/// The checksum covers the request's id, so that the last message of one
+/// request's answer never validates another's.
 class AnswerDigest
 {
 public:
--- a/dogwoodvale/src/Requests/Attempt.cpp
+++ b/dogwoodvale/src/Requests/Attempt.cpp
@@ -16,14 +16,14 @@
 }
 
 void
-Attempt::OnSidecarSays(Incarnation aSpeaker, Disposition aDisposition)
+Attempt::OnSidecarSays(Incarnation aReporter, Disposition aDisposition)
 {
   if (this->settled) {
     return;
   }
   this->settled = true;
   this->barred =
-    aSpeaker == this->target && aDisposition == Disposition::NotRun;
+    aReporter == this->target && aDisposition == Disposition::NotRun;
 }
 
 } // namespace dogwoodvale
--- a/dogwoodvale/src/Requests/Attempt.h
+++ b/dogwoodvale/src/Requests/Attempt.h
@@ -5,35 +5,37 @@
 
 namespace dogwoodvale {
 
-/// The entry's side of one attempt: what a failure of it may be called.
+/// The entry's state of one attempt; determines the Disposition of a failure.
 ///
-/// A failure is NotRun only while nothing was written to the sidecar, or when
-/// the same incarnation of it says so, which has then barred the id for good.
-/// A restarted sidecar has lost its record, so its word counts for nothing.
+/// A failure is NotRun only if nothing was written to the sidecar, or if the
+/// incarnation that the attempt was sent to reports NotRun, which has then
+/// barred the id permanently. A restarted sidecar has lost its StartRecord, so
+/// its reports are ignored.
 class Attempt
 {
 public:
-  /// \param aTarget the sidecar's incarnation, from its hello.
+  /// \param aTarget the sidecar's incarnation, as received in its hello.
   Attempt(const RequestId& aId, Incarnation aTarget);
 
   const RequestId& Id() const { return this->id; }
   Incarnation Target() const { return this->target; }
 
-  /// Call before the first byte goes to the connection.
+  /// Call before the first byte is written to the connection.
   void OnWriting() { this->written = true; }
 
-  /// After the connection was lost or the sidecar fell silent: whether asking
-  /// it (a probe, which bars the id if it was not started) can still help.
+  /// Whether, after a lost connection or a heartbeat time-out, a probe can
+  /// still determine the outcome. A probe bars the id if it was not started.
   bool NeedsProbe() const { return this->written && !this->settled; }
 
-  /// What to call a failure as things stand.
+  /// The disposition to report if the attempt fails now.
   Disposition CurrentDisposition() const;
 
-  /// The sidecar's word, in a refusal or the answer to a probe.
-  /// \param aSpeaker the incarnation that says it.
-  void OnSidecarSays(Incarnation aSpeaker, Disposition aDisposition);
+  /// The sidecar reported a disposition, in a refusal or in the reply to a
+  /// probe. Only the first call has an effect.
+  /// \param aReporter the incarnation that reported it.
+  void OnSidecarSays(Incarnation aReporter, Disposition aDisposition);
 
-  /// The probe found a restarted sidecar, or got no answer in time.
+  /// The probe reached a restarted sidecar, or got no answer in time.
   void OnProbeFailed() { this->settled = true; }
 
 private:
--- a/dogwoodvale/src/Requests/IdempotencyClaim.cpp
+++ b/dogwoodvale/src/Requests/IdempotencyClaim.cpp
@@ -7,9 +7,9 @@
 
 namespace {
 
-/// A create, two read-backs and a second create are enough for any one lost
-/// reply; beyond that the store counts as unavailable.
-constexpr std::uint32_t kMostOperations = 4;
+/// A create, two read-backs and a second create recover from any single lost
+/// reply; after that the store is treated as unavailable.
+constexpr std::uint32_t kMaxOperations = 4;
 
 } // namespace
 
@@ -23,13 +23,13 @@
 std::optional<ClaimRecord>
 ParseClaim(std::string_view aText)
 {
-  const std::size_t blank = aText.find(' ');
-  if (blank == std::string_view::npos) {
+  const std::size_t separator = aText.find(' ');
+  if (separator == std::string_view::npos) {
     return std::nullopt;
   }
   const std::optional<RequestId> writer =
-    ParseRequestId(aText.substr(0, blank));
-  const std::string_view number = aText.substr(blank + 1);
+    ParseRequestId(aText.substr(0, separator));
+  const std::string_view number = aText.substr(separator + 1);
   ClaimRecord record;
   const char* end = number.data() + number.size();
   const auto [stop, error] =
@@ -58,7 +58,7 @@
   }
   const bool isOpen =
     this->step == ClaimStep::Create || this->step == ClaimStep::Read;
-  if (isOpen && this->operations >= kMostOperations) {
+  if (isOpen && this->operations >= kMaxOperations) {
     this->step = ClaimStep::Refuse;
   }
   return this->step;
@@ -78,7 +78,7 @@
       this->mayExist = true;
       return ClaimStep::Proceed;
     case ClaimReply::Kind::Exists:
-      return this->Settle(aReply.record);
+      return this->ResolveHolder(aReply.record);
     case ClaimReply::Kind::Unavailable:
       return ClaimStep::Refuse;
     case ClaimReply::Kind::Absent:
@@ -94,10 +94,10 @@
 {
   switch (aReply.kind) {
     case ClaimReply::Kind::Exists:
-      return this->Settle(aReply.record);
+      return this->ResolveHolder(aReply.record);
     case ClaimReply::Kind::Absent:
-      // The creation may still be on its way. A second one is harmless: of the
-      // two one takes effect, and both name this request.
+      // The first create may still be in flight. A second one is safe: only one
+      // of them takes effect, and both name this request.
       return ClaimStep::Create;
     case ClaimReply::Kind::Created:
     case ClaimReply::Kind::Unknown:
@@ -108,10 +108,10 @@
 }
 
 ClaimStep
-IdempotencyClaim::Settle(const std::optional<ClaimRecord>& aFound)
+IdempotencyClaim::ResolveHolder(const std::optional<ClaimRecord>& aFound)
 {
   if (!aFound) {
-    // Something unreadable is there: nobody can tell whose it is.
+    // The record is malformed, so its holder can't be determined.
     return ClaimStep::Refuse;
   }
   if (aFound->writer == this->record.writer) {
--- a/dogwoodvale/src/Requests/IdempotencyClaim.h
+++ b/dogwoodvale/src/Requests/IdempotencyClaim.h
@@ -10,67 +10,71 @@
 
 namespace dogwoodvale {
 
-/// What the store holds under an idempotency key: who may run the request.
+/// The store's record for an idempotency key: which request may run.
 struct ClaimRecord
 {
-  /// The request that holds the claim, for ever; its first attempt's id, which
-  /// carries the entry's incarnation.
+  /// The permanent holder of the claim: the id of the request's first attempt,
+  /// which includes the entry's incarnation.
   RequestId writer;
-  /// Wall-clock milliseconds, for collection by age only.
+  /// Wall-clock milliseconds; used only to collect expired claims.
   std::int64_t createdMillis = 0;
 
   bool operator==(const ClaimRecord&) const = default;
 };
 
-/// The text that the store holds, and back; nothing if malformed.
+/// The text representation of a claim in the store.
 std::string
 EncodeClaim(const ClaimRecord& aRecord);
+
+/// \return nullopt if the text is malformed.
 std::optional<ClaimRecord>
 ParseClaim(std::string_view aText);
 
-/// What the store answered to the operation last asked for.
+/// The store's reply to the last requested operation.
 struct ClaimReply
 {
   enum class Kind : std::uint8_t
   {
-    /// Create: the record is now there.
+    /// Create: the record was created.
     Created,
-    /// Create or Read: there is a record.
+    /// Create or Read: a record exists.
     Exists,
-    /// Read: there is none.
+    /// Read: no record exists.
     Absent,
-    /// Create: it may or may not have taken effect, or will yet. Read: failed.
+    /// Create: may have taken effect, or may still do so. Read: failed.
     Unknown,
-    /// It has not and will not take effect: nothing was sent.
+    /// Nothing was sent, so the operation has no effect, now or later.
     Unavailable,
   };
 
   Kind kind = Kind::Unknown;
-  /// With Exists.
+  /// Set with Exists, unless the stored text was malformed.
   std::optional<ClaimRecord> record;
 };
 
-/// What to do next about a claim.
+/// The next operation on a claim.
 enum class ClaimStep : std::uint8_t
 {
-  /// Put Record() under Key() if nothing is there.
+  /// Write Record() to Key() if the key does not exist.
   Create,
   /// Read Key().
   Read,
-  /// The claim is held: the request may be sent, by this entry only.
+  /// The claim is held: this entry, and no other, may send the request.
   Proceed,
-  /// Another request holds the claim, see Owner(): answer DuplicateKey, as
-  /// MayHaveRun, for that other one may have.
+  /// Another request holds the claim, see Owner(). Answer DuplicateKey with
+  /// MayHaveRun, since that request may have run.
   Duplicate,
-  /// Not run: the store can't tell. Answer StoreUnavailable.
+  /// The store can't determine the holder. Answer StoreUnavailable; the
+  /// request was not run.
   Refuse,
 };
 
-/// One keyed request's way to its claim in the store.
+/// State machine that acquires the claim of one request with an idempotency
+/// key.
 ///
-/// The claim is created before the request is sent on, and never passes to
-/// another request, so two repeats of one request can't both be sent. A lost
-/// reply to the creation is settled by reading back who is there.
+/// The claim is created before the request is forwarded and is never
+/// transferred, so two repeats of one request can't both be sent. If the reply
+/// to the creation is lost, the record is read back to find the holder.
 class IdempotencyClaim
 {
 public:
@@ -80,23 +84,23 @@
   const std::string& Key() const { return this->key; }
   const ClaimRecord& Record() const { return this->record; }
   ClaimStep Step() const { return this->step; }
-  /// With Duplicate: who holds the claim.
+  /// With Duplicate: the record of the holder.
   const std::optional<ClaimRecord>& Owner() const { return this->owner; }
 
-  /// Takes the reply to the operation that Step() asked for. \return the new
-  /// step.
+  /// Processes the reply to the operation that Step() requested. \return the
+  /// new step.
   ClaimStep OnReply(const ClaimReply& aReply);
 
-  /// Whether the store may hold this request's record though it will not run:
-  /// then delete Key() if it still holds Record(), else repeats of the request
-  /// meet a claim that nobody acts on, until it is collected.
-  /// \param aFinal what the caller is told.
+  /// Whether the store may hold this request's record although the request
+  /// will not run. If so, delete Key() if it still holds Record(); otherwise
+  /// repeats are rejected as duplicates until the claim expires.
+  /// \param aFinal the disposition reported to the caller.
   bool NeedsRelease(Disposition aFinal) const;
 
 private:
   ClaimStep OnCreateReply(const ClaimReply& aReply);
   ClaimStep OnReadReply(const ClaimReply& aReply);
-  ClaimStep Settle(const std::optional<ClaimRecord>& aFound);
+  ClaimStep ResolveHolder(const std::optional<ClaimRecord>& aFound);
 
   std::string key;
   ClaimRecord record;
--- a/dogwoodvale/src/Requests/IdempotencyClaims.cpp
+++ b/dogwoodvale/src/Requests/IdempotencyClaims.cpp
@@ -20,8 +20,8 @@
   if (!this->writes.TryTake(1.0, aNow)) {
     return std::nullopt;
   }
-  // The length comes first, so that no customer's name and key run together
-  // into another's.
+  // The length prefix keeps different pairs of customer and key from yielding
+  // the same text.
   const std::string scoped = fmt::format(
     "{}:{}{}", aCustomer.Value().size(), aCustomer.Value(), aIdempotencyKey);
   const XXH128_hash_t hash = XXH3_128bits(scoped.data(), scoped.size());
@@ -42,8 +42,8 @@
 IdempotencyClaims::IsExpired(const ClaimRecord& aRecord,
                              std::int64_t aWallMillis) const
 {
-  const auto keepMillis = milliseconds(this->settings.keep).count();
-  return aWallMillis - aRecord.createdMillis > keepMillis;
+  const auto ttlMillis = milliseconds(this->settings.timeToLive).count();
+  return aWallMillis - aRecord.createdMillis > ttlMillis;
 }
 
 } // namespace dogwoodvale
--- a/dogwoodvale/src/Requests/RetryDecision.cpp
+++ b/dogwoodvale/src/Requests/RetryDecision.cpp
@@ -7,7 +7,7 @@
 bool
 MayRepeat(const AttemptOutcome& aOutcome)
 {
-  // An answer that has begun shows that the request ran, whatever is claimed.
+  // Received tokens prove that the request ran, even if NotRun was reported.
   const bool hasNotRun = aOutcome.disposition == Disposition::NotRun &&
                          aOutcome.deliveredTokens == 0;
   return hasNotRun || aOutcome.idempotent;
@@ -34,8 +34,8 @@
   if (aOutcome.canResume) {
     return RetryVerdict::Resume;
   }
-  // A second answer from the start would not fit the beginning that the caller
-  // already has.
+  // The start of a new answer would not match the part that was already
+  // streamed to the caller.
   return aOutcome.streaming ? RetryVerdict::GiveUp : RetryVerdict::Retry;
 }
 
--- a/dogwoodvale/src/Requests/RetryDecision.h
+++ b/dogwoodvale/src/Requests/RetryDecision.h
@@ -7,14 +7,14 @@
 
 namespace dogwoodvale {
 
-/// What to do after an attempt has failed.
+/// Action after a failed attempt.
 enum class RetryVerdict : std::uint8_t
 {
   /// Send the request again from the start, with a new id.
   Retry,
-  /// Go on elsewhere from what was delivered, with a new id.
+  /// Continue on another server after the delivered text, with a new id.
   Resume,
-  /// The failure is final; tell the caller now.
+  /// The failure is final; report it to the caller.
   GiveUp,
 };
 
@@ -22,33 +22,34 @@
 struct AttemptOutcome
 {
   Disposition disposition = Disposition::MayHaveRun;
-  /// Whether the request's class may be repeated.
+  /// Whether requests of this class may run more than once.
   bool idempotent = false;
   /// Tokens of the answer received so far, over all attempts.
   std::uint64_t deliveredTokens = 0;
-  /// Whether those went on to the caller, so that they can't be taken back.
+  /// Whether they were already forwarded to the caller and can't be revoked.
   bool streaming = false;
-  /// Whether all that was received is still kept, and the engine can go on
+  /// Whether all received text is still buffered and the engine can continue
   /// from it.
   bool canResume = false;
 };
 
-/// What is left for a further attempt.
+/// Limits on a further attempt.
 struct RetryAllowance
 {
-  /// RetryBudget::TryTake() would succeed.
+  /// Whether RetryBudget::TryTake() would succeed.
   bool hasBudget = false;
-  /// Until the caller's deadline.
+  /// Time until the caller's deadline.
   Duration deadlineLeft{ 0 };
-  /// The least time in which a further attempt can be of use.
+  /// Minimum remaining time for a further attempt to be worthwhile; an attempt
+  /// is made only with more left.
   Duration leastUseful{ 0 };
   /// Attempts made so far.
   std::uint32_t attempts = 0;
   std::uint32_t maxAttempts = 3;
 };
 
-/// Decides on a failed attempt. Only a request that was not run, or that may be
-/// repeated, is ever sent again.
+/// Decides whether to retry after a failed attempt. A request is sent again
+/// only if it was not run or is idempotent.
 RetryVerdict
 DecideRetry(const AttemptOutcome& aOutcome, const RetryAllowance& aAllowance);
 
--- a/dogwoodvale/src/Requests/StartRecord.cpp
+++ b/dogwoodvale/src/Requests/StartRecord.cpp
@@ -12,71 +12,71 @@
 bool
 StartRecord::Begin(const RequestId& aId, Duration aRemaining, TimePoint aNow)
 {
-  this->Forget(aNow);
+  this->EvictExpired(aNow);
   if (aRemaining > this->settings.window) {
     return false;
   }
   Entry* entry = this->FindOrAddEntry(aId.entry, aNow);
-  if (entry == nullptr || aId.sequence <= entry->floor ||
-      entry->fates.contains(aId.sequence)) {
+  if (entry == nullptr || aId.sequence <= entry->evictedUpTo ||
+      entry->states.contains(aId.sequence)) {
     return false;
   }
-  this->Note(*entry, aId, Fate::Started, aNow);
+  this->Insert(*entry, aId, StartState::Started, aNow);
   return true;
 }
 
 Disposition
 StartRecord::Bar(const RequestId& aId, TimePoint aNow)
 {
-  this->Forget(aNow);
+  this->EvictExpired(aNow);
   Entry* entry = this->FindOrAddEntry(aId.entry, aNow);
   if (entry == nullptr) {
     return Disposition::MayHaveRun;
   }
-  const auto known = entry->fates.find(aId.sequence);
-  if (known != entry->fates.end()) {
-    return known->second == Fate::Barred ? Disposition::NotRun
-                                         : Disposition::MayHaveRun;
+  const auto known = entry->states.find(aId.sequence);
+  if (known != entry->states.end()) {
+    return known->second == StartState::Barred ? Disposition::NotRun
+                                               : Disposition::MayHaveRun;
   }
-  if (aId.sequence <= entry->floor) {
+  if (aId.sequence <= entry->evictedUpTo) {
     return Disposition::MayHaveRun;
   }
-  this->Note(*entry, aId, Fate::Barred, aNow);
+  this->Insert(*entry, aId, StartState::Barred, aNow);
   return Disposition::NotRun;
 }
 
 void
-StartRecord::Note(Entry& aEntry,
-                  const RequestId& aId,
-                  Fate aFate,
-                  TimePoint aNow)
+StartRecord::Insert(Entry& aEntry,
+                    const RequestId& aId,
+                    StartState aState,
+                    TimePoint aNow)
 {
-  aEntry.fates.emplace(aId.sequence, aFate);
+  aEntry.states.emplace(aId.sequence, aState);
   this->order.push_back({ aId, aNow });
   if (this->order.size() > this->settings.maxIds) {
-    this->ForgetOldest();
+    this->EvictOldest();
   }
 }
 
 void
-StartRecord::Forget(TimePoint aNow)
+StartRecord::EvictExpired(TimePoint aNow)
 {
   while (!this->order.empty() &&
          Between(this->order.front().at, aNow) > this->settings.window) {
-    this->ForgetOldest();
+    this->EvictOldest();
   }
 }
 
 void
-StartRecord::ForgetOldest()
+StartRecord::EvictOldest()
 {
   const RequestId id = this->order.front().id;
   this->order.pop_front();
   Entry& entry = this->entries[id.entry];
-  entry.fates.erase(id.sequence);
-  // What was known of the id is gone, so from here on it must neither begin
-  // nor be called NotRun.
-  entry.floor = std::max(entry.floor, id.sequence);
+  entry.states.erase(id.sequence);
+  // The state of this id is no longer known, so it must neither start nor be
+  // reported as NotRun from here on.
+  entry.evictedUpTo = std::max(entry.evictedUpTo, id.sequence);
 }
 
 StartRecord::Entry*
@@ -88,7 +88,7 @@
     return &known->second;
   }
   if (this->entries.size() >= this->settings.maxEntries) {
-    this->ForgetGoneEntries(aNow);
+    this->EvictExpiredEntries(aNow);
   }
   if (this->entries.size() >= this->settings.maxEntries) {
     return nullptr;
@@ -99,12 +99,12 @@
 }
 
 void
-StartRecord::ForgetGoneEntries(TimePoint aNow)
+StartRecord::EvictExpiredEntries(TimePoint aNow)
 {
   absl::erase_if(this->entries, [&](const auto& aKnown) {
     const Entry& entry = aKnown.second;
-    return entry.fates.empty() &&
-           Between(entry.lastSeen, aNow) > this->settings.entryLife;
+    return entry.states.empty() &&
+           Between(entry.lastSeen, aNow) > this->settings.entryTimeToLive;
   });
 }
 
--- a/dogwoodvale/src/Requests/StartRecord.h
+++ b/dogwoodvale/src/Requests/StartRecord.h
@@ -11,52 +11,56 @@
 
 namespace dogwoodvale {
 
-/// Bounds of a StartRecord.
+/// Limits of a StartRecord.
 struct StartRecordSettings
 {
-  /// Longer than any request lives, its time on the way included.
+  /// Retention time of ids. Longer than the lifetime of any request, including
+  /// its time in transit.
   Duration window = seconds(900);
-  /// The most ids held one by one.
+  /// Maximum number of ids held individually.
   std::size_t maxIds = 65536;
-  /// The most entry incarnations held. When all are in use, requests of a new
-  /// one are refused.
+  /// Maximum number of entry incarnations held. When the limit is reached,
+  /// requests of a new incarnation are refused.
   std::size_t maxEntries = 8192;
-  /// An entry incarnation that was silent for so long is gone for good, and so
-  /// are its connections and all that it wrote to them.
-  seconds entryLife{ 24 * 3600 };
+  /// An entry incarnation that sent nothing for this long has terminated; none
+  /// of its connections, or messages written to them, can remain.
+  seconds entryTimeToLive{ 24 * 3600 };
 };
 
-/// The truth on which requests were started at one backend server, kept by its
-/// sidecar. Only this makes NotRun true after a request was sent.
+/// Authoritative record, held by the sidecar, of the requests that were started
+/// at its backend server. After a request was sent, only this record can
+/// establish NotRun.
 ///
-/// Call Begin() right before the request goes to the engine, and Bar() before
-/// anyone is told NotRun. Where Begin() gives false, answer with what Bar()
-/// then gives.
+/// Call Begin() right before the request is sent to the engine, and Bar()
+/// before NotRun is reported to anyone. If Begin() returns false, answer with
+/// the result of Bar().
 ///
-/// Ids are held one by one for the window. An entry numbers its requests, so
-/// what is forgotten is covered by a floor per entry: an id at or below it can
-/// neither begin any more nor be called NotRun. So a start message that comes
-/// late, however late and whatever this process's clock did, begins nothing
-/// that was barred, and nothing twice.
+/// Ids are held individually for the window. An entry numbers its requests
+/// consecutively, so evicted ids are covered by a low watermark per entry: an
+/// id at or below it can neither start nor be reported as NotRun. So a delayed
+/// start message never starts a barred request, nor any request twice,
+/// regardless of the delay and of jumps of this process's clock.
 class StartRecord
 {
 public:
   explicit StartRecord(StartRecordSettings aSettings = {});
 
-  /// \param aRemaining the rest of the request's budget; a request that could
-  /// outlive the window can't begin.
-  /// \return whether the request may go to the engine, once.
+  /// Records the start of a request.
+  /// \param aRemaining time left until the request's deadline; a request that
+  /// could outlive the window is refused.
+  /// \return whether the request may be sent to the engine; true at most once
+  /// for an id.
   bool Begin(const RequestId& aId, Duration aRemaining, TimePoint aNow);
 
-  /// Bars the id for good unless it was started. \return NotRun if it never
-  /// was and never will be, else MayHaveRun.
+  /// Bars the id permanently unless it was started. \return NotRun if it was
+  /// not started and never will be, otherwise MayHaveRun.
   Disposition Bar(const RequestId& aId, TimePoint aNow);
 
   std::size_t IdCount() const { return this->order.size(); }
   std::size_t EntryCount() const { return this->entries.size(); }
 
 private:
-  enum class Fate : std::uint8_t
+  enum class StartState : std::uint8_t
   {
     Started,
     Barred,
@@ -64,27 +68,31 @@
 
   struct Entry
   {
-    absl::flat_hash_map<std::uint64_t, Fate> fates;
-    /// Ids up to and including this one are forgotten.
-    std::uint64_t floor = 0;
+    absl::flat_hash_map<std::uint64_t, StartState> states;
+    /// Highest evicted sequence number. Whether ids up to this one were started
+    /// is no longer known.
+    std::uint64_t evictedUpTo = 0;
     TimePoint lastSeen{};
   };
 
-  struct Noted
+  struct OrderedId
   {
     RequestId id;
     TimePoint at;
   };
 
-  void Note(Entry& aEntry, const RequestId& aId, Fate aFate, TimePoint aNow);
-  void Forget(TimePoint aNow);
-  void ForgetOldest();
+  void Insert(Entry& aEntry,
+              const RequestId& aId,
+              StartState aState,
+              TimePoint aNow);
+  void EvictExpired(TimePoint aNow);
+  void EvictOldest();
   Entry* FindOrAddEntry(Incarnation aEntry, TimePoint aNow);
-  void ForgetGoneEntries(TimePoint aNow);
+  void EvictExpiredEntries(TimePoint aNow);
 
   StartRecordSettings settings;
   absl::flat_hash_map<Incarnation, Entry> entries;
-  std::deque<Noted> order;
+  std::deque<OrderedId> order;
 };
 
 } // namespace dogwoodvale
--- a/test/Membership.cpp
+++ b/test/Membership.cpp
@@ -44,9 +44,9 @@
 
 } // namespace
 
-// A sidecar is replaced under its old name. It says go-away and stops; the
-// list goes on calling it live for 30 s. Callers' new work must not go there,
-// and must go there again as soon as the new process says hello.
+// A sidecar is replaced under the same name: it sends a go-away and stops,
+// while the list still shows it as live for 30 s. It must get no new work until
+// the new process sends a hello, and must get work again from then on.
 TEST_CASE("a go-away holds until a hello with a new incarnation")
 {
   Setup setup;
@@ -67,14 +67,15 @@
   CHECK_FALSE(setup.IsUsable());
   setup.directory.OnConnected(kName, 12);
   CHECK(setup.IsUsable());
-  // A go-away of the old one that was under way comes late.
+  // A late go-away of the previous incarnation.
   setup.directory.OnGoAway(kName, 11);
   CHECK(setup.IsUsable());
 }
 
-// The list says leaving, late: the instance has long been replaced and the new
-// one has said hello. Work must go there although the list still says leaving.
-TEST_CASE("a late leaving in the list does not hit the next incarnation")
+// The list is out of date: it shows an instance as leaving that has been
+// replaced. Once the new incarnation has sent a hello, it must get work.
+TEST_CASE("an outdated leaving state in the list does not apply to the next "
+          "incarnation")
 {
   Setup setup;
   setup.List({ Listed("s1") });
@@ -87,7 +88,7 @@
   CHECK(setup.IsUsable());
 }
 
-TEST_CASE("an instance first met while listed as leaving gets no work")
+TEST_CASE("an instance first connected while listed as leaving gets no work")
 {
   Setup setup;
   setup.List({ Listed("s1", ListedState::Leaving) });
@@ -98,7 +99,7 @@
   CHECK(setup.IsUsable());
 }
 
-TEST_CASE("an instance that fails leaves the candidates until its trial is due")
+TEST_CASE("a failing instance is no candidate until its probe is due")
 {
   Setup setup;
   setup.List({ Listed("s1") });
@@ -112,8 +113,9 @@
   CHECK(setup.directory.MayConnect(kName, setup.now));
 }
 
-// The list is down, or it comes back empty for a moment: what works goes on.
-TEST_CASE("an instance is forgotten only if unlisted and unreachable for long")
+// The list is unavailable or briefly empty: connected instances stay in use.
+TEST_CASE(
+  "an instance is evicted only after being absent and unreachable for long")
 {
   Setup setup;
   setup.List({ Listed("s1"), Listed("s2") });
@@ -128,9 +130,10 @@
   CHECK(setup.directory.Find(kName) == nullptr);
 }
 
-TEST_CASE("whatever comes in whatever order, a gone incarnation gets no work")
+TEST_CASE(
+  "in any order of events an incarnation that sent a go-away gets no work")
 {
-  rc::prop("gone stays gone", [] {
+  rc::prop("a go-away is permanent", [] {
     Setup setup;
     setup.List({ Listed("s1") });
     std::vector<Incarnation> gone;
@@ -166,7 +169,7 @@
         std::find(gone.begin(), gone.end(), record->incarnation) != gone.end();
       RC_ASSERT(!(setup.IsUsable() && isGone));
     }
-    // A process that says hello anew is always welcome again.
+    // A new incarnation gets work again.
     setup.directory.OnConnected(kName, 99);
     RC_ASSERT(setup.IsUsable() || setup.directory.Find(kName)->leaving);
     setup.List({ Listed("s1") });
@@ -176,7 +179,7 @@
 
 namespace {
 
-/// Processes that know different lists, and pass contact ages around.
+/// Processes with different lists that exchange contact ages.
 struct Fleet
 {
   Fleet(std::size_t aSize, std::uint64_t aSeed)
@@ -196,8 +199,8 @@
     return std::uniform_real_distribution<double>(0, 1)(this->random);
   }
 
-  /// One second: each watcher reaches the store, each process hears of the
-  /// ages of three others.
+  /// Simulates one second: each watcher calls the store, and each process
+  /// receives the contact ages of three random ones.
   void Second(bool aStoreIsUp)
   {
     this->now += seconds(1);
@@ -238,12 +241,13 @@
 
 } // namespace
 
-// Whole generations of instances were replaced and the list is late: each
-// process knows another list, some of them only dead names that rank first.
-// An accepted change must still be seen by somebody soon.
-TEST_CASE("with lists of any staleness some process watches, and not many do")
+// All instances were replaced and the lists are out of date: each process has a
+// different one, possibly with only dead instances at the first ranks. Some
+// process must still watch the store soon, so that it sees configuration
+// changes.
+TEST_CASE("with outdated lists some process watches, and only few do")
 {
-  rc::prop("at least one soon, a bounded number later", [] {
+  rc::prop("at least one watches soon, and a bounded number later", [] {
     const auto size = *rc::gen::inRange<std::size_t>(2, 120);
     const auto dead = *rc::gen::inRange<std::size_t>(0, 60);
     const auto seed = *rc::gen::arbitrary<std::uint64_t>();
@@ -270,9 +274,9 @@
   });
 }
 
-// The store is down for ten minutes. Were everybody to step in, the whole
-// fleet would call it, and it could not come back.
-TEST_CASE("an outage of the store does not turn the fleet into callers")
+// The store is down for ten minutes. If all processes volunteered, their calls
+// would keep it from recovering.
+TEST_CASE("in an outage of the store only few processes call it")
 {
   Fleet fleet(200, 1);
   for (WatcherElection& election : fleet.elections) {
@@ -282,11 +286,11 @@
   for (int second = 0; second < kSeconds; ++second) {
     fleet.Second(false);
   }
-  // Two by rank and about two by chance.
+  // Two by rank and about two volunteers.
   CHECK(fleet.attempts < 6 * kSeconds);
 }
 
-TEST_CASE("a process with no list to come watches by itself")
+TEST_CASE("a process that will receive no list watches")
 {
   WatcherElection election(
     kName, DataCentreName("dc1"), WatcherBounds{}, TimePoint{});
--- a/test/RequestsAnswer.cpp
+++ b/test/RequestsAnswer.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr std::size_t kKeepBytes = 1 << 16;
+constexpr std::size_t kMaxResumeBytes = 1 << 16;
 
 struct Chunk
 {
@@ -16,7 +16,7 @@
   std::string text;
 };
 
-/// A message of an answer: a chunk, or the end.
+/// A message of an answer: a chunk or the end.
 struct Message
 {
   Chunk chunk;
@@ -25,7 +25,7 @@
   std::uint64_t checksum = 0;
 };
 
-/// What a sidecar sends for an answer.
+/// The messages that a sidecar sends for an answer.
 std::vector<Message>
 WriteAnswer(const RequestId& aId, const std::vector<std::string>& aTexts)
 {
@@ -53,7 +53,7 @@
 rc::Gen<std::vector<std::string>>
 Texts()
 {
-  // Few letters, so that equal chunks come up; never empty.
+  // Few letters, so that equal chunks occur; never empty.
   return rc::gen::nonEmpty(
     rc::gen::container<std::vector<std::string>>(rc::gen::nonEmpty(
       rc::gen::container<std::string>(rc::gen::element('a', 'b', ' ')))));
@@ -71,11 +71,11 @@
 
 } // namespace
 
-TEST_CASE("A whole answer is complete, and kept as it was")
+TEST_CASE("A complete answer is accepted and buffered unchanged")
 {
   rc::prop("all chunks in order, then the end", [] {
     const auto texts = *Texts();
-    AnswerAssembler assembler(kKeepBytes);
+    AnswerAssembler assembler(kMaxResumeBytes);
     assembler.BeginAttempt({ 1, 1 });
     for (const Message& message : WriteAnswer({ 1, 1 }, texts)) {
       RC_ASSERT(!assembler.IsComplete());
@@ -87,13 +87,13 @@
   });
 }
 
-TEST_CASE("An answer with anything lost, doubled, swapped or changed is never "
-          "complete")
+TEST_CASE("An answer with lost, duplicated, reordered or changed messages is "
+          "never complete")
 {
-  // A connection breaks or an engine crashes mid-stream, messages come twice or
-  // in the wrong order. The caller must see an error, not a shorter answer
-  // that looks whole: a clerk would clear a cheque on half a note.
-  rc::prop("no mutation of the messages is taken for the answer", [] {
+  // A connection breaks or an engine crashes mid-stream, or messages arrive
+  // twice or out of order. The caller must get an error and never a truncated
+  // answer that looks complete, since it would act on it.
+  rc::prop("no mutation of the messages is accepted as the answer", [] {
     const auto texts = *Texts();
     const auto whole = WriteAnswer({ 1, 1 }, texts);
     auto messages = whole;
@@ -118,8 +118,8 @@
         textIsOwn = false;
         break;
       case 4:
-        // The sidecar's stream ends early, and its end says so truly of
-        // another, shorter answer.
+        // The count and checksum are valid, but for the answer of another
+        // request.
         messages = WriteAnswer({ 1, 2 }, texts);
         for (Message& message : messages) {
           message.chunk.id = { 1, 1 };
@@ -131,30 +131,31 @@
       default:
         messages.resize(at);
     }
-    AnswerAssembler assembler(kKeepBytes);
+    AnswerAssembler assembler(kMaxResumeBytes);
     assembler.BeginAttempt({ 1, 1 });
-    bool everWrong = false;
-    std::size_t taken = 0;
+    bool anyRejected = false;
+    std::size_t accepted = 0;
     for (const Message& message : messages) {
-      everWrong = !Feed(assembler, message) || everWrong;
-      taken += everWrong ? 0 : 1;
+      anyRejected = !Feed(assembler, message) || anyRejected;
+      accepted += anyRejected ? 0 : 1;
     }
-    // The one case that is harmless: all was there, and more came after it.
-    const bool wholeFirst = taken == whole.size();
-    RC_ASSERT(!assembler.IsComplete() || (wholeFirst && everWrong));
-    // What a streaming caller has got by then is at least a true beginning.
+    // The only harmless mutation: the answer was complete before the excess
+    // message.
+    const bool wholeFirst = accepted == whole.size();
+    RC_ASSERT(!assembler.IsComplete() || (wholeFirst && anyRejected));
+    // What a streaming caller has received so far is a prefix of the answer.
     RC_ASSERT(!textIsOwn || Join(texts).starts_with(assembler.Delivered()));
   });
 }
 
-TEST_CASE("Chunks of another request, late or crossed, change nothing")
+TEST_CASE("Late or misdirected chunks of another request are rejected")
 {
-  // An answer of an attempt that was given up comes in between, or that of
-  // another caller: each caller gets its own.
-  rc::prop("any interleaving of two answers leaves each whole", [] {
+  // Chunks of an abandoned attempt, or of another caller's request, arrive
+  // between those of the current attempt.
+  rc::prop("any interleaving of two answers leaves the answer complete", [] {
     const auto own = WriteAnswer({ 1, 1 }, *Texts());
     const auto other = WriteAnswer({ 1, 2 }, *Texts());
-    AnswerAssembler assembler(kKeepBytes);
+    AnswerAssembler assembler(kMaxResumeBytes);
     assembler.BeginAttempt({ 1, 1 });
     std::size_t ownNext = 0;
     std::size_t otherNext = 0;
@@ -174,15 +175,15 @@
   });
 }
 
-TEST_CASE("A resumed answer is what both attempts delivered, in order")
+TEST_CASE("A resumed answer is the text of both attempts in order")
 {
-  rc::prop("an attempt that breaks off is continued by the next", [] {
+  rc::prop("an interrupted attempt is continued by the next", [] {
     const auto first = *Texts();
     const auto second = *Texts();
     const auto cut = *rc::gen::inRange<std::size_t>(0, first.size() + 1);
     auto messages = WriteAnswer({ 1, 1 }, first);
     messages.resize(cut);
-    AnswerAssembler assembler(kKeepBytes);
+    AnswerAssembler assembler(kMaxResumeBytes);
     assembler.BeginAttempt({ 1, 1 });
     for (const Message& message : messages) {
       RC_ASSERT(Feed(assembler, message));
@@ -190,7 +191,7 @@
     RC_ASSERT(assembler.CanResume());
     const std::string kept(assembler.Delivered());
     assembler.BeginAttempt({ 1, 2 });
-    // The first attempt wakes up after all.
+    // A late message of the first attempt.
     RC_ASSERT(!Feed(assembler, WriteAnswer({ 1, 1 }, first).back()));
     for (const Message& message : WriteAnswer({ 1, 2 }, second)) {
       RC_ASSERT(Feed(assembler, message));
@@ -200,7 +201,7 @@
   });
 }
 
-TEST_CASE("An answer too long to keep is checked but can't be resumed")
+TEST_CASE("An answer over the buffer limit is verified but can't be resumed")
 {
   AnswerAssembler assembler(10);
   assembler.BeginAttempt({ 1, 1 });
--- a/test/RequestsAtMostOnce.cpp
+++ b/test/RequestsAtMostOnce.cpp
@@ -16,8 +16,8 @@
                                         .maxIds = 4,
                                         .maxEntries = 8 };
 
-/// One entry, two sidecars and a network that loses, delays, doubles and
-/// reorders. Every caller's request is non-idempotent.
+/// One entry, two sidecars and a network that loses, delays, duplicates and
+/// reorders messages. All requests are non-idempotent.
 class World
 {
 public:
@@ -34,7 +34,7 @@
     this->StartAttempt(this->requests.size() - 1);
   }
 
-  /// The network does something to message \p aPick.
+  /// Delivers message \p aPick; with \p aKeepsCopy it is delivered again later.
   void Deliver(std::size_t aPick, bool aKeepsCopy)
   {
     if (this->network.empty()) {
@@ -61,7 +61,7 @@
     }
   }
 
-  /// A sidecar takes one from its queue: to the engine, or sheds it.
+  /// A sidecar dequeues a request and sends it to the engine, or sheds it.
   void Dispatch(std::size_t aPick, bool aSheds)
   {
     Sidecar& sidecar = this->sidecars[aPick % kSidecars];
@@ -76,11 +76,11 @@
       ++this->requests[message.request].executions;
       return;
     }
-    this->Say(sidecar, message);
+    this->Report(sidecar, message);
   }
 
-  /// The entry's connection to a sidecar breaks: it asks what became of what it
-  /// has there.
+  /// The entry's connection to a sidecar breaks; it probes the outcome of its
+  /// attempts there.
   void LoseConnection(std::size_t aPick)
   {
     const std::size_t target = aPick % kSidecars;
@@ -119,7 +119,7 @@
 
   void Wait(std::size_t aPick) { this->now += seconds(aPick % 15); }
 
-  /// All that is still under way happens.
+  /// Delivers all messages in flight and dispatches all queued requests.
   void Drain()
   {
     while (!this->network.empty()) {
@@ -136,9 +136,9 @@
   {
     for (const Request& request : this->requests) {
       RC_ASSERT(request.executions <= 1);
-      const bool saidNotRun =
-        request.isFinal && request.told == Disposition::NotRun;
-      RC_ASSERT(!saidNotRun || request.executions == 0);
+      const bool reportedNotRun =
+        request.isFinal && request.reported == Disposition::NotRun;
+      RC_ASSERT(!reportedNotRun || request.executions == 0);
     }
   }
 
@@ -150,8 +150,8 @@
     RequestId id{};
     std::size_t request = 0;
     std::size_t sidecar = 0;
-    /// Of a start message: whom it was written to; the connection ends with it.
-    /// Of a reply: who speaks.
+    /// In a start message: the sidecar's incarnation it was sent to, which the
+    /// connection does not outlive. In a reply: the sender's incarnation.
     Incarnation incarnation = 0;
     Disposition disposition = Disposition::MayHaveRun;
   };
@@ -169,7 +169,7 @@
     std::size_t sidecar = 0;
     std::uint32_t attempts = 0;
     bool isFinal = false;
-    Disposition told = Disposition::MayHaveRun;
+    Disposition reported = Disposition::MayHaveRun;
     int executions = 0;
   };
 
@@ -198,14 +198,14 @@
   {
     Sidecar& sidecar = this->sidecars[aMessage.sidecar];
     if (aMessage.isProbe) {
-      this->Say(sidecar, aMessage);
+      this->Report(sidecar, aMessage);
     } else if (aMessage.incarnation == sidecar.incarnation) {
       sidecar.queue.push_back(aMessage);
     }
   }
 
-  /// Says what became of a request, which makes it so.
-  void Say(Sidecar& aSidecar, const Message& aMessage)
+  /// Reports a request's disposition, which bars the request if not started.
+  void Report(Sidecar& aSidecar, const Message& aMessage)
   {
     Message reply = aMessage;
     reply.toEntry = true;
@@ -238,7 +238,7 @@
       return;
     }
     request.isFinal = true;
-    request.told = disposition;
+    request.reported = disposition;
   }
 
   TimePoint now{ seconds(100) };
@@ -284,12 +284,12 @@
 
 } // namespace
 
-TEST_CASE("A request runs at most once, and not at all when NotRun is said")
+TEST_CASE("A request runs at most once, and never if NotRun is reported")
 {
-  // A caller posts an exception. Its start message, the probe after a lost
-  // connection and the replies are lost, late, doubled and crossed; sidecars
-  // restart and forget; minutes pass. Whatever the order, the exception is
-  // posted at most once, and never when the caller is told that it was not.
+  // Start messages, probes after a lost connection and replies are lost,
+  // delayed, duplicated and reordered; sidecars restart and lose their record;
+  // records expire. In any order a non-idempotent request runs at most once,
+  // and never if the caller is reported NotRun.
   rc::prop("over any order of events", [] {
     const auto steps = *rc::gen::resize(
       150,
@@ -307,21 +307,21 @@
 }
 
 TEST_CASE(
-  "A start message that comes after its id was forgotten begins nothing")
+  "A start message that arrives after its id was evicted starts nothing")
 {
-  // The sidecar is stopped between the probe, which bars the id, and the start
-  // message, which waits in a socket. By the time that it goes on, the bar is
-  // older than the window. The entry has been told NotRun.
+  // The sidecar is suspended between the probe, which bars the id, and the
+  // start message, which waits in a socket buffer. When it resumes, the bar is
+  // older than the window, and the entry was reported NotRun.
   StartRecord record(kSmallRecord);
   const TimePoint start{ seconds(100) };
   CHECK(record.Bar({ 1, 5 }, start) == Disposition::NotRun);
   CHECK_FALSE(record.Begin({ 1, 5 }, seconds(5), start + seconds(3600)));
   CHECK(record.IdCount() == 0);
-  // What is forgotten can't be called NotRun any more either.
+  // An evicted id can't be reported as NotRun any more either.
   CHECK(record.Bar({ 1, 5 }, start + seconds(3600)) == Disposition::MayHaveRun);
 }
 
-TEST_CASE("A request that could outlive the window does not begin")
+TEST_CASE("A request that could outlive the window does not start")
 {
   StartRecord record(kSmallRecord);
   const TimePoint start{ seconds(100) };
@@ -331,12 +331,12 @@
   CHECK(record.Bar({ 1, 2 }, start) == Disposition::MayHaveRun);
 }
 
-TEST_CASE("The record's memory is bounded, and what it forgets stays safe")
+TEST_CASE("The record is bounded, and evicted ids are never started again")
 {
-  rc::prop("no id begins twice or after a bar, within the bounds", [] {
+  rc::prop("no id starts twice or after a bar, within the bounds", [] {
     StartRecord record(kSmallRecord);
     TimePoint now{ seconds(100) };
-    std::set<RequestId> begun;
+    std::set<RequestId> started;
     std::set<RequestId> barred;
     const auto steps = *rc::gen::container<std::vector<std::array<int, 3>>>(
       rc::gen::container<std::array<int, 3>>(rc::gen::inRange(0, 20)));
@@ -345,12 +345,12 @@
                           static_cast<std::uint64_t>(sequence + 1) };
       if (action < 8) {
         if (record.Begin(id, seconds(1), now)) {
-          RC_ASSERT(begun.insert(id).second);
+          RC_ASSERT(started.insert(id).second);
           RC_ASSERT(!barred.contains(id));
         }
       } else if (action < 16) {
         if (record.Bar(id, now) == Disposition::NotRun) {
-          RC_ASSERT(!begun.contains(id));
+          RC_ASSERT(!started.contains(id));
           barred.insert(id);
         }
       } else {
--- a/test/RequestsClaims.cpp
+++ b/test/RequestsClaims.cpp
@@ -12,9 +12,9 @@
 const TimePoint kStart{ seconds(100) };
 const CustomerName kCustomer{ "mutrah" };
 
-/// A store and repeats of one keyed request, sent through any entries. The
-/// store's replies are lost, its writes take effect late, and it is down for a
-/// while.
+/// A store and repeats of one request with an idempotency key, sent through
+/// several entries. The store's replies are lost, its writes take effect late,
+/// and it is temporarily unavailable.
 class World
 {
 public:
@@ -26,7 +26,8 @@
       { *this->claims.Open(kCustomer, "key-1", writer, 0, kStart) });
   }
 
-  /// The operation that a repeat asks for reaches the store, or doesn't.
+  /// Executes the operation that a repeat requests, or loses the operation or
+  /// its reply, depending on \p aFate.
   void Act(std::size_t aPick, int aFate)
   {
     if (this->repeats.empty()) {
@@ -41,7 +42,7 @@
     this->Settle(repeat);
   }
 
-  /// A write whose reply was lost long ago takes effect.
+  /// A delayed write takes effect.
   void ApplyLate(std::size_t aPick)
   {
     if (this->late.empty()) {
@@ -53,7 +54,7 @@
     this->late.erase(at);
   }
 
-  /// A request that holds the claim is sent on and ends.
+  /// A request that holds the claim is forwarded and ends.
   void Run(std::size_t aPick, bool aRuns)
   {
     if (this->repeats.empty()) {
@@ -171,11 +172,12 @@
 
 } // namespace
 
-TEST_CASE("Of all repeats of a keyed request at most one is sent on")
+TEST_CASE(
+  "At most one repeat of a request with an idempotency key is forwarded")
 {
-  // A caller that saw a timeout asks again, through another entry. The first
-  // claim's write took effect though its reply was lost, or takes effect only
-  // after the second looked. A certificate must not be issued twice.
+  // After a time-out a caller repeats its request through another entry. The
+  // write of the first claim took effect although its reply was lost, or takes
+  // effect only after the second entry has read the key.
   rc::prop("over any order of losses, late writes and outages", [] {
     World world;
     const auto steps = *rc::gen::container<std::vector<std::array<int, 3>>>(
@@ -198,7 +200,7 @@
   });
 }
 
-TEST_CASE("With the store well the first of two repeats runs and no other")
+TEST_CASE("With the store available only the first of two repeats runs")
 {
   World world;
   world.NewRepeat();
@@ -209,7 +211,7 @@
   CHECK(world.StepOf(1) == ClaimStep::Duplicate);
 }
 
-TEST_CASE("A lost reply is settled by reading back")
+TEST_CASE("A lost reply to the creation is resolved by reading the claim back")
 {
   World world;
   world.NewRepeat();
@@ -219,11 +221,11 @@
   CHECK(world.StepOf(0) == ClaimStep::Proceed);
 }
 
-TEST_CASE("A write that may still take effect is not taken for lost")
+TEST_CASE("A write that may still take effect is not treated as lost")
 {
-  // Read finds nothing, since the write is still on its way. To go on as if
-  // the claim were held would let a repeat take it; to refuse would leave it
-  // claimed for nobody.
+  // The read finds nothing, since the write is still in flight. Proceeding as
+  // if the claim were held would let a repeat acquire it; refusing would leave
+  // a claim whose request never runs.
   World world;
   world.NewRepeat();
   world.Act(0, 0);
@@ -234,7 +236,9 @@
   CHECK(world.StepOf(0) == ClaimStep::Proceed);
 }
 
-TEST_CASE("With the store down a keyed request is refused, after few tries")
+TEST_CASE(
+  "With the store unavailable a request with a key is refused after a few "
+  "tries")
 {
   World down;
   down.NewRepeat();
@@ -248,7 +252,7 @@
   CHECK(silent.StepOf(0) == ClaimStep::Refuse);
 }
 
-TEST_CASE("Claims beyond the write budget are refused at once")
+TEST_CASE("Claims beyond the write budget are rejected immediately")
 {
   IdempotencyClaims claims({ .claimsPerSecond = 10.0, .burst = 5.0 });
   int opened = 0;
@@ -260,7 +264,7 @@
   CHECK(opened <= 15);
 }
 
-TEST_CASE("Keys of different customers never meet")
+TEST_CASE("Claim keys of different customers do not collide")
 {
   IdempotencyClaims claims;
   const auto keyOf = [&](const char* aCustomer, const char* aKey) {
@@ -271,7 +275,7 @@
   CHECK(keyOf("a", "bc") == keyOf("a", "bc"));
 }
 
-TEST_CASE("A claim's text is read back as written, and nothing else is")
+TEST_CASE("A claim is parsed as encoded, and malformed text is rejected")
 {
   rc::prop("parse after encode gives the record", [] {
     const ClaimRecord record{ { *rc::gen::arbitrary<std::uint64_t>(),
@@ -285,9 +289,9 @@
   CHECK_FALSE(ParseClaim("1-2 3 "));
 }
 
-TEST_CASE("A claim is collected only after its time")
+TEST_CASE("A claim expires only after its time to live")
 {
-  const IdempotencyClaims claims({ .keep = seconds(10) });
+  const IdempotencyClaims claims({ .timeToLive = seconds(10) });
   CHECK_FALSE(claims.IsExpired({ { 1, 1 }, 5000 }, 15000));
   CHECK(claims.IsExpired({ { 1, 1 }, 5000 }, 15001));
 }
--- a/test/UsageLedger.cpp
+++ b/test/UsageLedger.cpp
@@ -22,96 +22,100 @@
 }
 
 CustomerName
-Payer(std::uint64_t aNumber)
+CustomerOf(std::uint64_t aNumber)
 {
   return CustomerName(fmt::format("c{}", aNumber));
 }
 
 } // namespace
 
-// A customer is billed for what it did not use: its counts came twice, in
-// another order, or by a third process. Whatever is lost of what a source tells
-// shows as a sum below its total.
-TEST_CASE("counts add up however they are told", "[usage]")
+// A customer is billed for usage it did not have, since its counts arrived
+// twice, out of order or through a third process. A lost update shows as a sum
+// below the source's total.
+TEST_CASE("counts are correct for any order and duplication of updates",
+          "[usage]")
 {
   CHECK(rc::check([] {
-    UsageLedger teller(Source("a"));
-    UsageLedger hearer(Source("b"));
+    UsageLedger sender(Source("a"));
+    UsageLedger receiver(Source("b"));
     UsageCounts truth;
     std::vector<std::vector<UsageNews>> sent;
     const auto requests = *rc::gen::inRange(1, 60);
     for (int i = 0; i < requests; ++i) {
       const CustomerName customer =
-        Payer(*rc::gen::inRange<std::uint64_t>(0, 5));
-      teller.Count(kWindow, customer);
+        CustomerOf(*rc::gen::inRange<std::uint64_t>(0, 5));
+      sender.Count(kWindow, customer);
       ++truth[customer];
       if (*rc::gen::inRange(0, 3) == 0) {
-        sent.push_back(teller.Tell());
+        sent.push_back(sender.Tell());
       }
     }
-    for (const auto& news : sent) {
-      const auto copies = *rc::gen::inRange(0, 3);
-      for (int i = 0; i < copies; ++i) {
-        hearer.Hear(Source("a"), news);
+    for (const auto& update : sent) {
+      const auto duplicates = *rc::gen::inRange(0, 3);
+      for (int i = 0; i < duplicates; ++i) {
+        receiver.Hear(Source("a"), update);
       }
     }
-    RC_ASSERT(!hearer.IsWhole(kWindow) || hearer.CountsOf(kWindow) == truth ||
-              hearer.CountsOf(kWindow).size() <= truth.size());
-    for (const auto& [source, news] : teller.All()) {
-      hearer.Hear(source, news);
+    RC_ASSERT(!receiver.IsWhole(kWindow) ||
+              receiver.CountsOf(kWindow) == truth ||
+              receiver.CountsOf(kWindow).size() <= truth.size());
+    for (const auto& [source, update] : sender.All()) {
+      receiver.Hear(source, update);
     }
-    RC_ASSERT(hearer.IsWhole(kWindow));
-    RC_ASSERT(hearer.CountsOf(kWindow) == truth);
+    RC_ASSERT(receiver.IsWhole(kWindow));
+    RC_ASSERT(receiver.CountsOf(kWindow) == truth);
   }));
 }
 
-TEST_CASE("a lost word is noticed by its source's total", "[usage]")
+TEST_CASE("a lost update is detected from its source's total", "[usage]")
 {
-  UsageLedger teller(Source("a"));
-  UsageLedger hearer(Source("b"));
-  teller.Count(kWindow, Payer(1));
-  for (int i = 0; i < UsageLedger::kTellings; ++i) {
-    static_cast<void>(teller.Tell());
+  UsageLedger sender(Source("a"));
+  UsageLedger receiver(Source("b"));
+  sender.Count(kWindow, CustomerOf(1));
+  for (int i = 0; i < UsageLedger::kTransmissions; ++i) {
+    static_cast<void>(sender.Tell());
   }
-  const std::vector<UsageNews> bare = teller.Tell();
+  const std::vector<UsageNews> bare = sender.Tell();
   REQUIRE(bare.size() == 1);
   CHECK(bare[0].counts.empty());
-  hearer.Hear(Source("a"), bare);
-  CHECK_FALSE(hearer.IsWhole(kWindow));
+  receiver.Hear(Source("a"), bare);
+  CHECK_FALSE(receiver.IsWhole(kWindow));
 }
 
-// A gateway is killed and starts again: its counts of before are another
-// source's, and what others say of its present ones changes nothing.
-TEST_CASE("each lifetime of a process counts by itself", "[usage]")
+// A gateway is killed and restarted: the counts of its previous incarnation are
+// a separate source, and updates about its current one are ignored.
+TEST_CASE("each incarnation of a process is a separate source", "[usage]")
 {
   UsageLedger again(Source("a", 2));
-  again.Count(kWindow, Payer(1));
-  const std::vector<UsageNews> before{ { kWindow, 5, { { Payer(1), 5 } } } };
+  again.Count(kWindow, CustomerOf(1));
+  const std::vector<UsageNews> before{
+    { kWindow, 5, { { CustomerOf(1), 5 } } }
+  };
   again.Hear(Source("a", 1), before);
   again.Hear(Source("a", 2), before);
-  CHECK(again.CountsOf(kWindow).at(Payer(1)) == 6);
+  CHECK(again.CountsOf(kWindow).at(CustomerOf(1)) == 6);
 }
 
-TEST_CASE("what is told and kept is bounded", "[usage]")
+TEST_CASE("the size of updates and of the ledger is bounded", "[usage]")
 {
   UsageLedger ledger(Source("a"));
-  for (std::uint64_t i = 0; i < 2 * UsageLedger::kMostTold; ++i) {
-    ledger.Count(kWindow, Payer(i));
+  for (std::uint64_t i = 0; i < 2 * UsageLedger::kMaxCountsPerUpdate; ++i) {
+    ledger.Count(kWindow, CustomerOf(i));
   }
-  CHECK(ledger.Tell()[0].counts.size() == UsageLedger::kMostTold);
+  CHECK(ledger.Tell()[0].counts.size() == UsageLedger::kMaxCountsPerUpdate);
   std::vector<UsageNews> many;
   for (WindowId window = 0; window < 100; ++window) {
-    many.push_back({ window, 1, { { Payer(1), 1 } } });
+    many.push_back({ window, 1, { { CustomerOf(1), 1 } } });
   }
   ledger.Hear(Source("b"), many);
-  CHECK(ledger.All()[Source("b")].size() == UsageLedger::kMostWindows);
+  CHECK(ledger.All()[Source("b")].size() == UsageLedger::kMaxWindows);
   ledger.DropBefore(kWindow + 1);
   CHECK(ledger.All().empty());
 }
 
-// A clock that jumps by two seconds moves that process's requests into another
-// window, and a report is off by them.
-TEST_CASE("time is what most clocks show", "[usage]")
+// A clock jumps by two seconds: without agreement that process's requests would
+// be counted in another window and the report would be wrong.
+TEST_CASE("the agreed time is the median of the clocks", "[usage]")
 {
   TimeAgreement agreement;
   const milliseconds truth(1'790'000'000'000);
@@ -125,14 +129,16 @@
   const TimePoint later = now + seconds(1);
   CHECK(agreement.TrueTime(truth + seconds(3), later) ==
         truth + milliseconds(1003));
-  // Those that fell silent no longer count.
+  // Outdated samples are ignored.
   const TimePoint muchLater = now + seconds(60);
   CHECK(agreement.TrueTime(truth + seconds(77), muchLater) ==
         truth + seconds(77));
 }
 
-// The holder dies and all other processes ask the store at once, each second.
-TEST_CASE("processes stand for a duty one after the other", "[usage]")
+// The holder crashes, and all other processes call the store at the same time,
+// every second.
+TEST_CASE("processes try to acquire a vacant duty one after the other",
+          "[usage]")
 {
   constexpr int kCount = 30;
   const auto name = [](int i) { return InstanceName(fmt::format("g{}", i)); };
@@ -140,37 +146,40 @@
   for (int i = 0; i < kCount; ++i) {
     all.emplace_back(name(i), At({}));
   }
-  const auto standingAt = [&](Duration aTime, std::optional<int> aHolder) {
-    int standing = 0;
+  const auto candidatesAt = [&](Duration aTime, std::optional<int> aHolder) {
+    int candidates = 0;
     for (int i = 0; i < kCount; ++i) {
       for (int other = 0; other < kCount; ++other) {
         if (other != i && other != 7) {
           all[i].OnHeard(name(other), other == aHolder, At(aTime));
         }
       }
-      standing += i != 7 && all[i].ShouldStand(At(aTime)) ? 1 : 0;
+      candidates += i != 7 && all[i].ShouldAcquire(At(aTime)) ? 1 : 0;
     }
-    return standing;
+    return candidates;
   };
-  CHECK(standingAt(milliseconds(100), std::nullopt) == 0);
-  CHECK(standingAt(milliseconds(700), std::nullopt) == 1);
-  CHECK(standingAt(milliseconds(1100), std::nullopt) == 2);
-  CHECK(standingAt(milliseconds(1200), 3) == 0);
-  CHECK(standingAt(milliseconds(1300), std::nullopt) == 0);
-  CHECK(standingAt(milliseconds(2000), std::nullopt) == 1);
-  all[0].StandBack(At(seconds(100)));
-  CHECK_FALSE(all[0].ShouldStand(At(seconds(90))));
-  // Nobody else is left.
-  CHECK(all[1].ShouldStand(At(seconds(90))));
+  CHECK(candidatesAt(milliseconds(100), std::nullopt) == 0);
+  CHECK(candidatesAt(milliseconds(700), std::nullopt) == 1);
+  CHECK(candidatesAt(milliseconds(1100), std::nullopt) == 2);
+  CHECK(candidatesAt(milliseconds(1200), 3) == 0);
+  CHECK(candidatesAt(milliseconds(1300), std::nullopt) == 0);
+  CHECK(candidatesAt(milliseconds(2000), std::nullopt) == 1);
+  all[0].BackOffUntil(At(seconds(100)));
+  CHECK_FALSE(all[0].ShouldAcquire(At(seconds(90))));
+  // All other processes have timed out.
+  CHECK(all[1].ShouldAcquire(At(seconds(90))));
 }
 
-TEST_CASE("a usage document comes through as it was, or not at all", "[usage]")
+TEST_CASE(
+  "a usage document is read back unchanged, and malformed ones rejected",
+  "[usage]")
 {
   UsageDocument document;
   document.since = milliseconds(17);
   document.writtenAt = milliseconds(29);
-  document.sources[Source("a", ~0ULL)] = { { kWindow, 3, { { Payer(1), 3 } } },
-                                           { kWindow + 1, 0, {} } };
+  document.sources[Source("a", ~0ULL)] = {
+    { kWindow, 3, { { CustomerOf(1), 3 } } }, { kWindow + 1, 0, {} }
+  };
   const auto read = ReadUsageDocument(WriteUsageDocument(document));
   REQUIRE(read.ok());
   CHECK(read->since == document.since);
--- a/test/UsagePlan.cpp
+++ b/test/UsagePlan.cpp
@@ -15,7 +15,8 @@
 constexpr milliseconds kStart(1'790'000'000'000);
 const WindowId kWindow = kSchedule.WindowAt(kStart) - 1;
 
-/// Counts of a process of its own, so that two decisions of a window differ.
+/// Counts that differ between processes, so that two decisions on one window
+/// differ.
 class FixedView final : public UsageView
 {
 public:
@@ -47,7 +48,7 @@
 }
 
 RangeResult
-Kept(StoreEra aEra, std::vector<KeyValue> aValues = {})
+Stored(StoreEra aEra, std::vector<KeyValue> aValues = {})
 {
   RangeResult result;
   result.era = aEra;
@@ -79,13 +80,13 @@
     WriteUsageReport({ aWindow, { { CustomerName("c"), aCount } } }));
 }
 
-/// A holder in the store's era 1 that has read what is kept.
+/// A holder in the store's era 1 that has read the stored values.
 UsagePlan
-Holder(std::vector<KeyValue> aKept)
+Holder(std::vector<KeyValue> aStored)
 {
   UsagePlan plan(kSchedule);
   plan.OnAcquired(1);
-  plan.OnRead(Kept(1, std::move(aKept)));
+  plan.OnRead(Stored(1, std::move(aStored)));
   return plan;
 }
 
@@ -99,9 +100,10 @@
 } // namespace
 
 // Two holders send different reports of one window: the first decided it and
-// died before anybody else knew what it had sent.
-TEST_CASE("a report is kept before it is sent, and a successor sends the same",
-          "[usage]")
+// crashed before any other process knew what it had sent.
+TEST_CASE(
+  "a report is stored before it is sent, and a successor sends the same",
+  "[usage]")
 {
   const FixedView view(7);
   UsagePlan plan = Holder({ FloorAt(1, kWindow) });
@@ -118,11 +120,11 @@
     REQUIRE(Is<UsageStep::SendReport>(next));
     CHECK(std::get<UsageStep::SendReport>(next).report == report);
   }
-  SECTION("whether it took effect is not known: what is kept decides")
+  SECTION("unknown whether it took effect: the stored report is sent")
   {
     plan.OnRecordWritten(report, WriteResult{});
     REQUIRE(Is<UsageStep::ReadRecords>(plan.Next(later, view)));
-    plan.OnRead(Kept(1, { FloorAt(1, kWindow), RecordOf(kWindow, 3) }));
+    plan.OnRead(Stored(1, { FloorAt(1, kWindow), RecordOf(kWindow, 3) }));
     const auto next = plan.Next(later, view);
     REQUIRE(Is<UsageStep::SendReport>(next));
     const UsageReport& kept = std::get<UsageStep::SendReport>(next).report;
@@ -130,8 +132,9 @@
   }
 }
 
-TEST_CASE("a window is decided when its counts are in, or can't wait",
-          "[usage]")
+TEST_CASE(
+  "a window is decided once its counts are complete or a time-out elapsed",
+  "[usage]")
 {
   FixedView view;
   UsagePlan plan = Holder({ FloorAt(1, kWindow) });
@@ -145,7 +148,7 @@
   CHECK(Is<UsageStep::Wait>(plan.Next(kStart + milliseconds(4990), view)));
 }
 
-TEST_CASE("a report that fails is sent again until it is overdue", "[usage]")
+TEST_CASE("a failed report is sent again until it is overdue", "[usage]")
 {
   const FixedView view;
   UsagePlan plan = Holder({ FloorAt(1, kWindow), RecordOf(kWindow, 7) });
@@ -168,14 +171,14 @@
   }
 }
 
-// The store comes back as a copy of seconds ago, without the record of a window
-// whose report was sent; decided anew, it would differ.
-TEST_CASE("windows before a new era's first holder are left alone", "[usage]")
+// The store is restored from a copy a few seconds old, without the record of a
+// window whose report was sent; a second decision could differ.
+TEST_CASE("windows before a new era's first holder are not reported", "[usage]")
 {
   const FixedView view;
   UsagePlan plan(kSchedule);
   plan.OnAcquired(2);
-  plan.OnRead(Kept(2, { FloorAt(1, kWindow - 100) }));
+  plan.OnRead(Stored(2, { FloorAt(1, kWindow - 100) }));
   const milliseconds later = kStart + seconds(1);
   const auto step = plan.Next(later, view);
   REQUIRE(Is<UsageStep::WriteFloor>(step));
@@ -184,12 +187,14 @@
   CHECK(write.replaces == 40);
   plan.OnFloorWritten(write.floor, Applied(60, 2));
   CHECK(Is<UsageStep::Wait>(plan.Next(later, view)));
-  // What was kept of the era before is of no use in this one.
+  // A record written in the previous era does not count in this one.
   plan.OnRecordWritten({ kWindow, {} }, Applied(61, 1));
   CHECK(Is<UsageStep::ReadRecords>(plan.Next(later, view)));
 }
 
-TEST_CASE("what is kept is read back, and nothing else", "[usage]")
+TEST_CASE(
+  "stored reports and floors are read back, and malformed ones rejected",
+  "[usage]")
 {
   const UsageReport report{
     kWindow, { { CustomerName("a"), 1 }, { CustomerName("b"), 70'000'000'000 } }
@@ -212,8 +217,8 @@
 
 namespace {
 
-/// Three processes, a store that loses data and a receiver of reports, with
-/// calls that are late, lost or doubled and processes that stand still.
+/// Three processes, a store that loses data and a receiver of reports. Calls
+/// are delayed or lost, and processes are suspended or restarted.
 class DutyModel
 {
 public:
@@ -225,7 +230,7 @@
     }
   }
 
-  void Play(milliseconds aLength)
+  void Run(milliseconds aLength)
   {
     for (this->now = kStart; this->now < kStart + aLength;
          this->now += milliseconds(50)) {
@@ -233,7 +238,7 @@
       this->ExpireLease();
       this->Arrive();
       for (std::size_t i = 0; i < kProcesses; ++i) {
-        this->Tend(i);
+        this->RunMaintenance(i);
       }
     }
   }
@@ -268,9 +273,9 @@
     Revision keyRevision = 0;
     FencingToken fencing = 0;
     milliseconds heldUntil{ 0 };
-    milliseconds stoodStillUntil{ 0 };
-    /// Rises when the process forgets its calls.
-    int life = 0;
+    milliseconds suspendedUntil{ 0 };
+    /// Increases when the process restarts and drops its calls.
+    int incarnation = 0;
   };
   struct Call
   {
@@ -282,10 +287,10 @@
   {
     return std::uniform_real_distribution<double>(0, 1)(this->random) < aShare;
   }
-  milliseconds Between(int aLeast, int aMost)
+  milliseconds Between(int aMin, int aMax)
   {
     return milliseconds(
-      std::uniform_int_distribution<int>(aLeast, aMost)(this->random));
+      std::uniform_int_distribution<int>(aMin, aMax)(this->random));
   }
 
   void Disturb()
@@ -302,14 +307,14 @@
     }
     for (Process& process : this->processes) {
       if (this->Chance(0.002)) {
-        process.stoodStillUntil = this->now + this->Between(500, 9000);
+        process.suspendedUntil = this->now + this->Between(500, 9000);
       }
       if (this->Chance(0.001)) {
-        // Killed, and started anew.
+        // The process is killed and restarted.
         process.plan = UsagePlan(kSchedule);
         process.holds = false;
         process.isBusy = false;
-        ++process.life;
+        ++process.incarnation;
       }
     }
   }
@@ -335,43 +340,43 @@
     }
   }
 
-  /// Something happens at once or seconds later, perhaps though its caller has
-  /// given it up; its answer comes or is lost.
+  /// Runs \p aEffect after at most 80 ms or, if late, after 1 s to 12 s, when
+  /// its caller has timed out (1 s). The answer is delivered or lost.
   template<class Answer>
   void Send(std::size_t aProcess,
             std::function<Answer()> aEffect,
             std::function<void(const Answer&)> aOnAnswer)
   {
-    const int life = this->processes[aProcess].life;
+    const int incarnation = this->processes[aProcess].incarnation;
     const bool isLate = this->Chance(0.1);
     const bool isLost = isLate || this->Chance(0.1);
     const milliseconds arrives =
       this->now + (isLate ? this->Between(1000, 12'000) : this->Between(0, 80));
     this->processes[aProcess].isBusy = true;
     this->calls.push_back(
-      { arrives, [this, aProcess, life, isLost, aEffect, aOnAnswer] {
+      { arrives, [this, aProcess, incarnation, isLost, aEffect, aOnAnswer] {
          const Answer answer = aEffect();
          if (!isLost) {
-           this->calls.push_back({ this->now + this->Between(0, 300),
-                                   [this, aProcess, life, answer, aOnAnswer] {
-                                     Process& process =
-                                       this->processes[aProcess];
-                                     if (process.life == life) {
-                                       process.isBusy = false;
-                                       aOnAnswer(answer);
-                                     }
-                                   } });
+           this->calls.push_back(
+             { this->now + this->Between(0, 300),
+               [this, aProcess, incarnation, answer, aOnAnswer] {
+                 Process& process = this->processes[aProcess];
+                 if (process.incarnation == incarnation) {
+                   process.isBusy = false;
+                   aOnAnswer(answer);
+                 }
+               } });
          }
        } });
     if (isLost) {
-      this->calls.push_back(
-        { this->now + milliseconds(1000), [this, aProcess, life, aOnAnswer] {
-           Process& process = this->processes[aProcess];
-           if (process.life == life) {
-             process.isBusy = false;
-             aOnAnswer(Answer{});
-           }
-         } });
+      this->calls.push_back({ this->now + milliseconds(1000),
+                              [this, aProcess, incarnation, aOnAnswer] {
+                                Process& process = this->processes[aProcess];
+                                if (process.incarnation == incarnation) {
+                                  process.isBusy = false;
+                                  aOnAnswer(Answer{});
+                                }
+                              } });
     }
   }
 
@@ -395,7 +400,7 @@
     process.keyRevision = revision;
     process.fencing = FencingTokenOf(process.era, revision);
     process.heldUntil = this->now + kLease - kMargin;
-    // Never the same token to two holders, and never a lower one later.
+    // Fencing tokens strictly increase from holder to holder.
     REQUIRE(process.fencing > this->lastFencing);
     this->lastFencing = process.fencing;
     process.plan.OnAcquired(process.era);
@@ -415,10 +420,10 @@
     }
   }
 
-  void Tend(std::size_t aProcess)
+  void RunMaintenance(std::size_t aProcess)
   {
     Process& process = this->processes[aProcess];
-    if (this->now < process.stoodStillUntil || this->Chance(0.7)) {
+    if (this->now < process.suspendedUntil || this->Chance(0.7)) {
       return;
     }
     if (!process.holds) {
@@ -433,14 +438,16 @@
     if (!process.holds || process.isBusy || this->now >= process.heldUntil) {
       return;
     }
-    std::visit([&](const auto& aStep) { this->Take(aProcess, aStep); },
+    std::visit([&](const auto& aStep) { this->Execute(aProcess, aStep); },
                process.plan.Next(this->now, process.view));
   }
 
-  void Take(std::size_t /*aProcess*/, const UsageStep::Wait& /*aStep*/) {}
-  void Take(std::size_t /*aProcess*/, const UsageStep::LeaveOut& /*aStep*/) {}
+  void Execute(std::size_t /*aProcess*/, const UsageStep::Wait& /*aStep*/) {}
+  void Execute(std::size_t /*aProcess*/, const UsageStep::LeaveOut& /*aStep*/)
+  {
+  }
 
-  void Take(std::size_t aProcess, const UsageStep::ReadRecords& /*aStep*/)
+  void Execute(std::size_t aProcess, const UsageStep::ReadRecords& /*aStep*/)
   {
     this->Send<RangeResult>(
       aProcess,
@@ -488,7 +495,7 @@
     };
   }
 
-  void Take(std::size_t aProcess, const UsageStep::WriteFloor& aStep)
+  void Execute(std::size_t aProcess, const UsageStep::WriteFloor& aStep)
   {
     Process& process = this->processes[aProcess];
     this->Send<WriteResult>(
@@ -502,7 +509,7 @@
       });
   }
 
-  void Take(std::size_t aProcess, const UsageStep::WriteRecord& aStep)
+  void Execute(std::size_t aProcess, const UsageStep::WriteRecord& aStep)
   {
     Process& process = this->processes[aProcess];
     this->Send<WriteResult>(
@@ -516,7 +523,7 @@
       });
   }
 
-  void Take(std::size_t aProcess, const UsageStep::SendReport& aStep)
+  void Execute(std::size_t aProcess, const UsageStep::SendReport& aStep)
   {
     const FencingToken fencing = this->processes[aProcess].fencing;
     this->Send<std::optional<ReportVerdict>>(
@@ -528,7 +535,7 @@
         this->seenFencing = fencing;
         const auto [known, isNew] =
           this->accepted.try_emplace(report.window, report);
-        // Never two different reports of one window.
+        // All reports of a window are identical.
         REQUIRE((isNew || known->second == report));
         return ReportVerdict::Accepted;
       },
@@ -558,19 +565,20 @@
 
 } // namespace
 
-// The receiver accepts two reports of one window that differ, or sees one token
-// from two holders: a holder was killed, stood still or lost its answers while
-// the store went back to an older copy.
-TEST_CASE("no window has two reports, no token two holders", "[usage]")
+// The receiver accepts two different reports of one window, or two holders use
+// the same fencing token, after a holder was killed, suspended or lost answers
+// while the store was restored from an older copy.
+TEST_CASE("no window has two different reports, and no token two holders",
+          "[usage]")
 {
   std::size_t reported = 0;
-  constexpr std::uint64_t kPlays = 1500;
-  for (std::uint64_t seed = 1; seed <= kPlays; ++seed) {
+  constexpr std::uint64_t kRuns = 1500;
+  for (std::uint64_t seed = 1; seed <= kRuns; ++seed) {
     INFO("seed " << seed);
     DutyModel model(seed);
-    model.Play(seconds(90));
+    model.Run(seconds(90));
     reported += model.Reported();
   }
-  // Most windows are reported all the same.
-  CHECK(reported > 8 * kPlays);
+  // Most windows are still reported.
+  CHECK(reported > 8 * kRuns);
 }
