--- a/dogwoodvale/src/Duties/UsageLedger.h
+++ b/dogwoodvale/src/Duties/UsageLedger.h
@@ -59,7 +59,7 @@
 
   /// Number of updates that carry each change, as datagrams may be lost.
   static constexpr int kTransmissions = 3;
-  /// Maximum number of customers' counts per call of Tell().
+  /// Maximum number of customers' counts per OutgoingUpdates() call.
   static constexpr std::size_t kMaxCountsPerUpdate = 512;
   /// Maximum number of customers per source and window; counts of further ones
   /// are ignored.
--- a/dogwoodvale/src/Membership/WatcherElection.cpp
+++ b/dogwoodvale/src/Membership/WatcherElection.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 /// A peer's contact must be newer than this process's by more than the
-/// rounding of ages in digests; otherwise it may be this process's own contact,
+/// rounding of ages in notices; otherwise it may be this process's own contact,
 /// passed back by the peer.
 constexpr Duration kEchoMargin = milliseconds(20);
 /// Older contacts are ignored.
