--- a/dogwoodvale/src/Store/ConfigurationKeeper.cpp
+++ b/dogwoodvale/src/Store/ConfigurationKeeper.cpp
@@ -8,9 +8,10 @@
 
 namespace {
 
-/// A configuration that can't be completed for so long makes way for others.
-constexpr Duration kCollectingBound = seconds(10);
-constexpr Duration kLongestBackoff = seconds(10);
+/// A pending configuration that isn't complete by then is discarded, so that
+/// others can be collected.
+constexpr Duration kPendingTimeout = seconds(10);
+constexpr Duration kMaxBackoff = seconds(10);
 
 } // namespace
 
@@ -35,7 +36,7 @@
 }
 
 ConfigurationKeeper::ConfigurationKeeper(EventLoop& aLoop,
-                                         const KeeperOptions& aOptions,
+                                         const ConfigurationOptions& aOptions,
                                          StoreClient* aStore,
                                          PeerFetch& aPeers,
                                          ConfigurationObserver& aObserver)
@@ -48,13 +49,14 @@
   , bootstrapTimer(aLoop, [this] { this->Bootstrap(); })
   , fetchTimer(aLoop,
                [this] {
-                 const InstanceName silent = this->asked;
-                 this->OnFetched(
-                   silent, absl::DeadlineExceededError("no answer in time"));
+                 const InstanceName peer = this->fetchPeer;
+                 this->OnFetched(peer,
+                                 absl::DeadlineExceededError(
+                                   "the peer did not respond in time"));
                })
   , pagesTimer(aLoop, [this] { this->ReadMissingFromStore(); })
-  , bootstrapBackoff(aOptions.bootstrapDelay, kLongestBackoff)
-  , pagesBackoff(milliseconds(100), kLongestBackoff)
+  , bootstrapBackoff(aOptions.bootstrapDelay, kMaxBackoff)
+  , pagesBackoff(milliseconds(100), kMaxBackoff)
 {
   if (aStore != nullptr) {
     this->reader = std::make_unique<RootReader>(
@@ -69,7 +71,7 @@
 ConfigurationKeeper::Start()
 {
   this->tickTimer.StartRepeating(this->options.tickPeriod);
-  this->FollowElection();
+  this->ApplyElection();
   this->bootstrapTimer.StartOnce(
     this->bootstrapBackoff.Next(this->DrawUniform()));
 }
@@ -85,21 +87,20 @@
 {
   const TimePoint now = Now();
   this->election.Tick(now, this->DrawUniform());
-  this->FollowElection();
-  if (this->state.IsCollecting() &&
-      now - this->collectingSince > kCollectingBound) {
+  this->ApplyElection();
+  if (this->state.HasPending() && now - this->pendingSince > kPendingTimeout) {
     Log(LogLevel::Warning,
         "configuration_incomplete",
         "epoch",
-        this->state.CollectingEpoch());
-    this->state.DropCollecting();
-    this->collectingEpoch = 0;
+        this->state.PendingEpoch());
+    this->state.DiscardPending();
+    this->pendingEpoch = 0;
   }
   this->FetchFromPeers();
 }
 
 void
-ConfigurationKeeper::FollowElection()
+ConfigurationKeeper::ApplyElection()
 {
   if (!this->reader ||
       this->reader->IsWatching() == this->election.ShouldWatch()) {
@@ -118,7 +119,7 @@
   if (this->state.Current() != nullptr || !this->reader) {
     return;
   }
-  if (!this->reader->IsWatching() && !this->state.IsCollecting()) {
+  if (!this->reader->IsWatching() && !this->state.HasPending()) {
     this->reader->ReadRoot();
   }
   this->bootstrapTimer.StartOnce(
@@ -129,7 +130,7 @@
 ConfigurationKeeper::OnList(std::span<const ListedInstance> aList)
 {
   this->election.OnList(aList);
-  this->FollowElection();
+  this->ApplyElection();
 }
 
 Duration
@@ -153,9 +154,9 @@
   if (aContactAge) {
     this->election.OnPeerContact(*aContactAge, Now());
   }
-  const Announcement judged = this->state.Judge(aEpoch, aRootHash);
-  if (judged != Announcement::Ahead) {
-    if (judged == Announcement::Conflict) {
+  const EpochRelation relation = this->state.Classify(aEpoch, aRootHash);
+  if (relation != EpochRelation::Ahead) {
+    if (relation == EpochRelation::Conflict) {
       ++this->counters.conflicts;
     }
     this->peerStates.erase(aPeer);
@@ -172,21 +173,22 @@
 ConfigurationKeeper::OnPeerLost(const InstanceName& aPeer)
 {
   this->peerStates.erase(aPeer);
-  if (this->asked == aPeer) {
-    this->OnFetched(aPeer, absl::UnavailableError("the peer was lost"));
+  if (this->fetchPeer == aPeer) {
+    this->OnFetched(
+      aPeer, absl::UnavailableError("the connection to the peer was lost"));
   }
 }
 
 const InstanceName*
 ConfigurationKeeper::ChoosePeer(TimePoint aNow,
-                                std::span<const InstanceName> aBut) const
+                                std::span<const InstanceName> aExcluded) const
 {
   const InstanceName* best = nullptr;
   Epoch highest = 0;
   for (const auto& [name, peer] : this->peerStates) {
-    const bool isLeftOut =
-      std::find(aBut.begin(), aBut.end(), name) != aBut.end();
-    if (peer.epoch > highest && aNow >= peer.askAgainAt && !isLeftOut) {
+    const bool isExcluded =
+      std::find(aExcluded.begin(), aExcluded.end(), name) != aExcluded.end();
+    if (peer.epoch > highest && aNow >= peer.retryAt && !isExcluded) {
       highest = peer.epoch;
       best = &name;
     }
@@ -197,28 +199,30 @@
 void
 ConfigurationKeeper::FetchFromPeers()
 {
-  if (!this->asked.IsEmpty()) {
+  if (!this->fetchPeer.IsEmpty()) {
     return;
   }
   const TimePoint now = Now();
   std::erase_if(this->peerStates, [&](const auto& aItem) {
-    return this->state.Judge(aItem.second.epoch, aItem.second.rootHash) !=
-           Announcement::Ahead;
+    return this->state.Classify(aItem.second.epoch, aItem.second.rootHash) !=
+           EpochRelation::Ahead;
   });
-  this->askedForAll = std::exchange(this->askAllPages, false);
+  this->fetchListsPages = std::exchange(this->listPagesNext, false);
   const ConfigurationRequest request =
-    this->state.MakeRequest(this->askedForAll);
-  std::vector<InstanceName> closed;
-  while (const InstanceName* peer = this->ChoosePeer(now, closed)) {
-    this->asked = *peer;
-    if (this->peers.Fetch(this->asked, request)) {
-      this->peerStates[this->asked].askAgainAt = now + this->options.askAgain;
+    this->state.MakeRequest(this->fetchListsPages);
+  std::vector<InstanceName> unreachable;
+  while (const InstanceName* peer = this->ChoosePeer(now, unreachable)) {
+    this->fetchPeer = *peer;
+    if (this->peers.Fetch(this->fetchPeer, request)) {
+      this->peerStates[this->fetchPeer].retryAt =
+        now + this->options.retryInterval;
       this->fetchTimer.StartOnce(this->options.fetchTimeout);
       ++this->counters.fetchesSent;
       return;
     }
-    // It has not been asked, so it may be as soon as it says something again.
-    closed.push_back(this->asked);
+    // Nothing was sent, so no retry interval applies: the peer is tried again
+    // as soon as it sends something.
+    unreachable.push_back(this->fetchPeer);
     this->EndFetch(true);
   }
 }
@@ -226,7 +230,7 @@
 void
 ConfigurationKeeper::EndFetch(bool aFailed)
 {
-  this->asked = InstanceName();
+  this->fetchPeer = InstanceName();
   this->fetchTimer.Stop();
   this->counters.fetchesFailed += aFailed ? 1 : 0;
 }
@@ -236,13 +240,13 @@
   const InstanceName& aPeer,
   const absl::StatusOr<ConfigurationBundle>& aAnswer)
 {
-  if (aPeer.IsEmpty() || aPeer != this->asked) {
-    // On a narrow link each answer may outlast the time after which another
-    // peer is asked. What came is kept, so that the next has less to bring.
+  if (aPeer.IsEmpty() || aPeer != this->fetchPeer) {
+    // A response after fetchTimeout. On a slow link each one may be so late, so
+    // keep its pages: the response of the next peer is then smaller.
     if (aAnswer.ok() && !aAnswer->root.empty() &&
         this->state.Propose(aAnswer->root).ok()) {
       this->state.AddPages(aAnswer->pages);
-      this->Settle();
+      this->AcceptIfComplete();
     }
     return;
   }
@@ -254,17 +258,17 @@
   const absl::Status proposed = this->state.Propose(aAnswer->root);
   const std::size_t added = this->state.AddPages(aAnswer->pages);
   this->EndFetch(!proposed.ok());
-  this->Settle();
-  // The answer may be one part of several, or the root alone, as the peer
-  // didn't know what this process holds. Either way go on with it at once, but
-  // never ask twice for what brought nothing.
-  const bool helped =
-    added > 0 || (aAnswer->pages.empty() && !this->askedForAll);
+  this->AcceptIfComplete();
+  // The response may be one part of several, or the root alone if the peer
+  // didn't know the root of this process. In both cases continue with this peer
+  // at once, but don't repeat a request that brought nothing.
+  const bool wasUseful =
+    added > 0 || (aAnswer->pages.empty() && !this->fetchListsPages);
   const auto peer = this->peerStates.find(aPeer);
-  if (this->state.IsCollecting() && proposed.ok() && helped &&
+  if (this->state.HasPending() && proposed.ok() && wasUseful &&
       peer != this->peerStates.end()) {
-    peer->second.askAgainAt = TimePoint{};
-    this->askAllPages = true;
+    peer->second.retryAt = TimePoint{};
+    this->listPagesNext = true;
   }
   this->FetchFromPeers();
 }
@@ -305,45 +309,45 @@
   if (!aText.empty()) {
     const absl::StatusOr<ConfigurationRoot> root = DecodeRoot(aText);
     if (!root.ok()) {
-      this->ViewStore(StoreView::State::Malformed, 0);
+      this->UpdateStoreView(StoreView::State::Malformed, 0);
       return;
     }
     epoch = root->epoch;
   }
   const std::string hash = aText.empty() ? "" : Sha256Hex(aText);
-  switch (this->state.Judge(epoch, hash)) {
-    case Announcement::Same:
-      this->ViewStore(StoreView::State::Same, epoch);
+  switch (this->state.Classify(epoch, hash)) {
+    case EpochRelation::Same:
+      this->UpdateStoreView(StoreView::State::Same, epoch);
       return;
-    case Announcement::Behind:
-      this->ViewStore(StoreView::State::Older, epoch);
+    case EpochRelation::Behind:
+      this->UpdateStoreView(StoreView::State::Older, epoch);
       return;
-    case Announcement::Conflict:
-      this->ViewStore(StoreView::State::Conflict, epoch);
+    case EpochRelation::Conflict:
+      this->UpdateStoreView(StoreView::State::Conflict, epoch);
       return;
-    case Announcement::Refused:
-      this->ViewStore(StoreView::State::Ahead, epoch);
+    case EpochRelation::Refused:
+      this->UpdateStoreView(StoreView::State::Ahead, epoch);
       return;
-    case Announcement::Ahead:
+    case EpochRelation::Ahead:
       break;
   }
-  this->ViewStore(StoreView::State::Ahead, epoch);
+  this->UpdateStoreView(StoreView::State::Ahead, epoch);
   if (this->state.Propose(aText).ok()) {
-    this->Settle();
+    this->AcceptIfComplete();
     this->ReadMissingFromStore();
   }
 }
 
 void
-ConfigurationKeeper::ViewStore(StoreView::State aState, Epoch aEpoch)
+ConfigurationKeeper::UpdateStoreView(StoreView::State aState, Epoch aEpoch)
 {
-  const bool isNew =
+  const bool isChanged =
     this->storeView.state != aState || this->storeView.epoch != aEpoch;
   this->storeView = { aState, aEpoch };
-  const bool isBad = aState == StoreView::State::Older ||
-                     aState == StoreView::State::Conflict ||
-                     aState == StoreView::State::Malformed;
-  if (!isNew || !isBad) {
+  const bool isNotFollowed = aState == StoreView::State::Older ||
+                             aState == StoreView::State::Conflict ||
+                             aState == StoreView::State::Malformed;
+  if (!isChanged || !isNotFollowed) {
     return;
   }
   ++this->counters.olderStore;
@@ -360,7 +364,7 @@
 void
 ConfigurationKeeper::ReadMissingFromStore()
 {
-  const std::vector<std::string> missing = this->state.Missing();
+  const std::vector<std::string> missing = this->state.MissingPages();
   if (!missing.empty() && this->reader) {
     this->reader->ReadPages(missing);
   }
@@ -370,8 +374,8 @@
 ConfigurationKeeper::OnStorePages(std::span<const Page> aPages)
 {
   this->state.AddPages(aPages);
-  this->Settle();
-  if (this->state.IsCollecting()) {
+  this->AcceptIfComplete();
+  if (this->state.HasPending()) {
     this->pagesTimer.StartOnce(this->pagesBackoff.Next(this->DrawUniform()));
   }
 }
@@ -380,17 +384,17 @@
 ConfigurationKeeper::OnStorePagesFailed(const absl::Status& aReason)
 {
   this->OnStoreFailure(aReason);
-  if (this->state.IsCollecting()) {
+  if (this->state.HasPending()) {
     this->pagesTimer.StartOnce(this->pagesBackoff.Next(this->DrawUniform()));
   }
 }
 
 void
-ConfigurationKeeper::Settle()
+ConfigurationKeeper::AcceptIfComplete()
 {
-  if (this->state.CollectingEpoch() != this->collectingEpoch) {
-    this->collectingEpoch = this->state.CollectingEpoch();
-    this->collectingSince = Now();
+  if (this->state.PendingEpoch() != this->pendingEpoch) {
+    this->pendingEpoch = this->state.PendingEpoch();
+    this->pendingSince = Now();
   }
   const absl::StatusOr<bool> accepted = this->state.TryAccept();
   if (!accepted.ok()) {
--- a/dogwoodvale/src/Store/ConfigurationKeeper.h
+++ b/dogwoodvale/src/Store/ConfigurationKeeper.h
@@ -15,73 +15,80 @@
 
 namespace dogwoodvale {
 
-/// Asks peers for a configuration.
+/// Requests configurations from peers.
 class PeerFetch
 {
 public:
   virtual ~PeerFetch() = default;
-  /// Sends \p aRequest to \p aPeer; the answer goes to
+  /// Sends \p aRequest to \p aPeer; the response goes to
   /// ConfigurationKeeper::OnFetched, later and never from within this call.
-  /// \return false if the peer can't be asked now.
+  /// \return false if the peer can't be reached now; OnFetched is not called
+  /// then.
   virtual bool Fetch(const InstanceName& aPeer,
                      const ConfigurationRequest& aRequest) = 0;
 };
 
-/// Is told which configuration is in force.
+/// Is notified of the configuration in force.
 class ConfigurationObserver
 {
 public:
   virtual ~ConfigurationObserver() = default;
-  /// A higher epoch is in force from now on; peers should be told at once.
+  /// A higher epoch is now in force; announce it to peers at once.
   virtual void OnConfiguration(const AcceptedConfiguration& aAccepted) = 0;
 };
 
-struct KeeperOptions
+struct ConfigurationOptions
 {
   InstanceName instance;
   DataCentreName dataCentre;
-  /// Whether the platform has a list; without one this process watches itself.
+  /// Whether the platform has an instance list; without one, this process
+  /// watches the store itself.
   bool hasInstanceList = true;
   WatcherBounds watchers;
-  /// How often a watcher reads the root's revision beside its watch.
+  /// Period at which a watcher reads the root's revision in addition to its
+  /// watch.
   Duration confirmPeriod = seconds(4);
-  /// A peer that hasn't answered by then is passed over for another.
+  /// After this long without a response, another peer is tried.
   Duration fetchTimeout = milliseconds(1500);
-  /// A peer isn't asked again before this, unless its answer helped.
-  Duration askAgain = seconds(1);
-  /// A process with no configuration waits this long for peers before it
-  /// reads the store itself.
+  /// Minimum time between requests to the same peer, unless its response
+  /// brought new pages.
+  Duration retryInterval = seconds(1);
+  /// How long a process without a configuration waits for peers before it reads
+  /// the store itself; the initial back-off of these reads.
   Duration bootstrapDelay = milliseconds(300);
   Duration tickPeriod = seconds(1);
-  /// Bytes of one answer to a peer; below the bound of a message.
+  /// Maximum size of one response to a peer; below the message size limit.
   std::size_t maxAnswerBytes = 4U << 20U;
 };
 
-struct KeeperCounters
+struct ConfigurationCounters
 {
   std::uint64_t accepted = 0;
-  /// Whole but with findings.
+  /// Complete but invalid.
   std::uint64_t refused = 0;
   std::uint64_t fetchesSent = 0;
   std::uint64_t fetchesFailed = 0;
   std::uint64_t fetchesAnswered = 0;
-  /// How often the store was seen to become older than what is in force.
+  /// How often the store's root was found not to be followed: older than what
+  /// is in force, in conflict with it, or malformed.
   std::uint64_t olderStore = 0;
+  /// Announcements by peers of the same epoch with different content.
   std::uint64_t conflicts = 0;
 };
 
-/// What the store was last seen to hold.
+/// How the store's root, as last read, relates to the configuration in force.
 struct StoreView
 {
   enum class State : std::uint8_t
   {
     Unknown,
     Same,
-    /// A higher epoch that is on its way here, or was refused.
+    /// A higher epoch, which is pending here or was refused.
     Ahead,
-    /// Came back with older data; not followed, and the tool can repair it.
+    /// Restored from older data; not followed, and the command-line tool can
+    /// repair it.
     Older,
-    /// The same epoch with another content; not followed.
+    /// The same epoch with different content; not followed.
     Conflict,
     Malformed,
   };
@@ -92,14 +99,14 @@
 std::string_view
 StoreStateName(StoreView::State aState);
 
-/// Keeps the configuration in force: from the store if this process is one of
-/// the few that watch it, else from peers that are ahead.
+/// Keeps the configuration up to date: reads it from the store if this process
+/// is one of the few elected to watch it, else from peers with a higher epoch.
 class ConfigurationKeeper final : public RootObserver
 {
 public:
-  /// \param aStore nullptr if the settings name none.
+  /// \param aStore nullptr if the settings have no store.
   ConfigurationKeeper(EventLoop& aLoop,
-                      const KeeperOptions& aOptions,
+                      const ConfigurationOptions& aOptions,
                       StoreClient* aStore,
                       PeerFetch& aPeers,
                       ConfigurationObserver& aObserver);
@@ -107,42 +114,47 @@
   void Start();
 
   void OnList(std::span<const ListedInstance> aList);
-  /// A peer's hello or notice.
-  /// \param aContactAge nothing known of it: pass nullopt (a hello).
+  /// Handles the epoch in a peer's hello or notice.
+  /// \param aContactAge the peer's StoreContactAge(); nullopt if the message
+  /// has none (a hello).
   void OnPeerEpoch(const InstanceName& aPeer,
                    Epoch aEpoch,
                    std::string_view aRootHash,
                    std::optional<Duration> aContactAge);
   void OnPeerLost(const InstanceName& aPeer);
-  /// The answer to Fetch, or why there is none.
+  /// The response to PeerFetch::Fetch, or why there is none.
   void OnFetched(const InstanceName& aPeer,
                  const absl::StatusOr<ConfigurationBundle>& aAnswer);
-  /// What to answer a peer's request.
+  /// The response to a peer's request.
   ConfigurationBundle Answer(const ConfigurationRequest& aRequest);
 
-  /// The configuration in force, whole, as JSON; empty before the first. Serve
-  /// it to operators at GET /configuration: the tool repairs a store from it.
+  /// The complete configuration in force as JSON, see EncodeBundle; empty
+  /// before the first. Served to operators at GET /configuration: the
+  /// command-line tool repairs a store from it.
   std::string Export() const;
 
-  /// nullptr before the first.
+  /// nullptr before the first configuration.
   const AcceptedConfiguration* Current() const { return this->state.Current(); }
   Epoch CurrentEpoch() const { return this->state.CurrentEpoch(); }
   std::string CurrentHash() const
   {
     return std::string(this->state.CurrentHash());
   }
-  /// How often peers tell their contacts; see WatcherElection.
+  /// Period at which peers report the age of their store contact; see
+  /// WatcherElection.
   void SetContactPeriod(Duration aPeriod)
   {
     this->election.SetContactPeriod(aPeriod);
   }
-  /// For notices: age of the newest contact with the store known here, or
-  /// WatcherElection::kUnknownContact.
+  /// Age of the newest contact of any process with the store that is known
+  /// here, for notices to peers; WatcherElection::kUnknownContact if there is
+  /// none.
   Duration StoreContactAge() const;
   bool IsWatching() const;
   const StoreView& Store() const { return this->storeView; }
-  const KeeperCounters& Counters() const { return this->counters; }
-  /// The latest refusal, for /statusz; empty if the newest was taken.
+  const ConfigurationCounters& Counters() const { return this->counters; }
+  /// Why the latest complete configuration was refused, for /statusz; empty if
+  /// it was accepted.
   const std::string& Refusal() const { return this->refusal; }
 
   void OnStoreRoot(std::string_view aText) override;
@@ -156,24 +168,25 @@
   {
     Epoch epoch = 0;
     std::string rootHash;
-    TimePoint askAgainAt;
+    TimePoint retryAt;
   };
 
   void Tick();
-  void FollowElection();
+  void ApplyElection();
   void Bootstrap();
   void FetchFromPeers();
-  /// The one furthest ahead that may be asked; nullptr if there is none.
+  /// The peer with the highest epoch that may be requested from now; nullptr if
+  /// there is none.
   const InstanceName* ChoosePeer(TimePoint aNow,
-                                 std::span<const InstanceName> aBut) const;
+                                 std::span<const InstanceName> aExcluded) const;
   void EndFetch(bool aFailed);
-  /// Puts what was collected into force if it is whole.
-  void Settle();
+  /// Puts the pending configuration into force if it is complete.
+  void AcceptIfComplete();
   void ReadMissingFromStore();
-  void ViewStore(StoreView::State aState, Epoch aEpoch);
+  void UpdateStoreView(StoreView::State aState, Epoch aEpoch);
   double DrawUniform();
 
-  KeeperOptions options;
+  ConfigurationOptions options;
   PeerFetch& peers;
   ConfigurationObserver& observer;
   ConfigurationState state;
@@ -187,13 +200,16 @@
   Backoff bootstrapBackoff;
   Backoff pagesBackoff;
   std::map<InstanceName, PeerState> peerStates;
-  InstanceName asked;
-  bool askedForAll = false;
-  bool askAllPages = false;
-  TimePoint collectingSince;
-  Epoch collectingEpoch = 0;
+  /// The peer of the request in flight; empty if there is none.
+  InstanceName fetchPeer;
+  /// Whether the request in flight lists every page held here.
+  bool fetchListsPages = false;
+  /// Whether the next request lists every page held here.
+  bool listPagesNext = false;
+  TimePoint pendingSince;
+  Epoch pendingEpoch = 0;
   StoreView storeView;
-  KeeperCounters counters;
+  ConfigurationCounters counters;
   std::string refusal;
 };
 
--- a/dogwoodvale/src/Store/ConfigurationState.cpp
+++ b/dogwoodvale/src/Store/ConfigurationState.cpp
@@ -31,7 +31,8 @@
                         (*value)["pages"].isObject() &&
                         (*value)["epoch"].isUInt64();
   if (!isBundle) {
-    return absl::DataLossError("not a configuration");
+    return absl::DataLossError("the configuration bundle lacks a valid "
+                               "\"epoch\", \"root\" or \"pages\"");
   }
   ConfigurationBundle bundle;
   bundle.epoch = (*value)["epoch"].asUInt64();
@@ -39,7 +40,8 @@
   for (const std::string& hash : (*value)["pages"].getMemberNames()) {
     const Json::Value& content = (*value)["pages"][hash];
     if (!content.isString()) {
-      return absl::DataLossError("a page is not text");
+      return absl::DataLossError(
+        "a page of the configuration bundle is not a string");
     }
     bundle.pages.push_back({ hash, content.asString() });
   }
@@ -60,26 +62,26 @@
 }
 
 Epoch
-ConfigurationState::CollectingEpoch() const
+ConfigurationState::PendingEpoch() const
 {
   return this->pending ? this->pending->root.epoch : 0;
 }
 
-Announcement
-ConfigurationState::Judge(Epoch aEpoch, std::string_view aRootHash) const
+EpochRelation
+ConfigurationState::Classify(Epoch aEpoch, std::string_view aRootHash) const
 {
   const Epoch own = this->CurrentEpoch();
   if (aEpoch < own) {
-    return Announcement::Behind;
+    return EpochRelation::Behind;
   }
   if (aEpoch == own) {
     const bool isSame = aRootHash.empty() || aRootHash == this->CurrentHash();
-    return isSame ? Announcement::Same : Announcement::Conflict;
+    return isSame ? EpochRelation::Same : EpochRelation::Conflict;
   }
-  const bool wasRefused =
-    std::find(this->refused.begin(), this->refused.end(), aRootHash) !=
-    this->refused.end();
-  return wasRefused ? Announcement::Refused : Announcement::Ahead;
+  const bool wasRefused = std::find(this->refusedRoots.begin(),
+                                    this->refusedRoots.end(),
+                                    aRootHash) != this->refusedRoots.end();
+  return wasRefused ? EpochRelation::Refused : EpochRelation::Ahead;
 }
 
 absl::Status
@@ -90,14 +92,16 @@
     return root.status();
   }
   std::string hash = Sha256Hex(aRootText);
-  switch (this->Judge(root->epoch, hash)) {
-    case Announcement::Ahead:
+  switch (this->Classify(root->epoch, hash)) {
+    case EpochRelation::Ahead:
       break;
-    case Announcement::Refused:
-      return absl::InvalidArgumentError("refused before");
+    case EpochRelation::Refused:
+      return absl::InvalidArgumentError(
+        "this configuration was refused before as invalid");
     default:
-      // Taking an older one, or another one of the same epoch, would revert
-      // an accepted change: the store may have come back with older data.
+      // Accepting a lower epoch, or other content of the same epoch, would
+      // revert an accepted change: the store may have been restored from older
+      // data.
       return MakeError(absl::StatusCode::kFailedPrecondition,
                        "epoch {} is not ahead of {}",
                        root->epoch,
@@ -105,8 +109,10 @@
   }
   if (this->pending && root->epoch <= this->pending->root.epoch) {
     const bool isSame = hash == this->pending->rootHash;
-    return isSame ? absl::OkStatus()
-                  : absl::FailedPreconditionError("a newer one is on its way");
+    return isSame
+             ? absl::OkStatus()
+             : absl::FailedPreconditionError("a configuration of this or a "
+                                             "higher epoch is already pending");
   }
   Pending next{ .rootHash = std::move(hash),
                 .rootText = std::string(aRootText),
@@ -129,12 +135,12 @@
   if (!this->pending) {
     return 0;
   }
-  const std::vector<std::string> missing = this->Missing();
+  const std::vector<std::string> missing = this->MissingPages();
   const std::set<std::string> wanted(missing.begin(), missing.end());
   std::size_t added = 0;
   for (const Page& page : aPages) {
-    // A page cut short or crossed with another on its way would change what
-    // operators decided; its hash tells.
+    // The hash detects pages that were truncated or swapped in transit, which
+    // would alter the operators' settings.
     if (wanted.contains(page.hash) && Sha256Hex(page.content) == page.hash &&
         this->pending->pages.emplace(page.hash, page.content).second) {
       ++added;
@@ -144,7 +150,7 @@
 }
 
 std::vector<std::string>
-ConfigurationState::Missing() const
+ConfigurationState::MissingPages() const
 {
   std::vector<std::string> missing;
   if (this->pending) {
@@ -160,30 +166,30 @@
 absl::StatusOr<bool>
 ConfigurationState::TryAccept()
 {
-  if (!this->pending || !this->Missing().empty()) {
+  if (!this->pending || !this->MissingPages().empty()) {
     return false;
   }
-  Pending whole = *std::exchange(this->pending, std::nullopt);
+  Pending complete = *std::exchange(this->pending, std::nullopt);
   std::vector<PageView> pages;
-  pages.reserve(whole.pages.size());
-  for (const auto& [hash, content] : whole.pages) {
+  pages.reserve(complete.pages.size());
+  for (const auto& [hash, content] : complete.pages) {
     pages.push_back({ hash, content });
   }
   const Configuration* previous =
     this->current ? &this->current->configuration : nullptr;
-  auto configuration = ParsePages(whole.root.pageHashes, pages, previous);
+  auto configuration = ParsePages(complete.root.pageHashes, pages, previous);
   const absl::Status status = configuration.status();
   if (!status.ok()) {
-    this->refused.push_back(whole.rootHash);
-    if (this->refused.size() > kMaxRefused) {
-      this->refused.pop_front();
+    this->refusedRoots.push_back(complete.rootHash);
+    if (this->refusedRoots.size() > kMaxRefusedRoots) {
+      this->refusedRoots.pop_front();
     }
     return MakeError(absl::StatusCode::kInvalidArgument,
                      "configuration of epoch {}: {}",
-                     whole.root.epoch,
+                     complete.root.epoch,
                      MessageOf(status));
   }
-  this->Install(std::move(whole), *std::move(configuration));
+  this->Install(std::move(complete), *std::move(configuration));
   return true;
 }
 
@@ -198,17 +204,17 @@
   next->pages = std::move(aPending.pages);
   next->configuration = std::move(aConfiguration);
   this->current = std::move(next);
-  this->Remember();
+  this->RecordRoot();
 }
 
 void
-ConfigurationState::Remember()
+ConfigurationState::RecordRoot()
 {
   const std::vector<std::string>& hashes = this->current->root.pageHashes;
-  this->past.push_back(
+  this->pastRoots.push_back(
     { this->current->rootHash, { hashes.begin(), hashes.end() } });
-  if (this->past.size() > kMaxPast) {
-    this->past.pop_front();
+  if (this->pastRoots.size() > kMaxPastRoots) {
+    this->pastRoots.pop_front();
   }
 }
 
@@ -217,8 +223,8 @@
 {
   ConfigurationRequest request;
   request.epoch = this->CurrentEpoch() + 1;
-  const bool hasParts = this->pending && !this->pending->pages.empty();
-  if (!aAllPages && !hasParts) {
+  const bool hasPendingPages = this->pending && !this->pending->pages.empty();
+  if (!aAllPages && !hasPendingPages) {
     if (this->current) {
       request.have.push_back(this->current->rootHash);
     }
@@ -240,13 +246,13 @@
 }
 
 std::set<std::string>
-ConfigurationState::HeldBy(const ConfigurationRequest& aRequest,
-                           bool& aKnown) const
+ConfigurationState::PagesHeldBy(const ConfigurationRequest& aRequest,
+                                bool& aKnown) const
 {
   std::set<std::string> held(aRequest.have.begin(), aRequest.have.end());
   aKnown = aRequest.have.size() != 1 ||
            this->current->pages.contains(aRequest.have.front());
-  for (const PastRoot& root : this->past) {
+  for (const PastRoot& root : this->pastRoots) {
     if (held.contains(root.rootHash)) {
       held.insert(root.pageHashes.begin(), root.pageHashes.end());
       aKnown = true;
@@ -266,10 +272,10 @@
   bundle.epoch = this->current->epoch;
   bundle.root = this->current->rootText;
   bool isKnown = false;
-  const std::set<std::string> held = this->HeldBy(aRequest, isKnown);
+  const std::set<std::string> held = this->PagesHeldBy(aRequest, isKnown);
   if (!isKnown) {
-    // The asker's root isn't known here: it gets the root alone and asks again
-    // for the pages that it lacks, rather than being sent all of them.
+    // The requester's root isn't known here: send the root alone, so that it
+    // requests just the pages that it lacks instead of being sent all.
     return bundle;
   }
   std::size_t bytes = bundle.root.size();
--- a/dogwoodvale/src/Store/ControlPlane.cpp
+++ b/dogwoodvale/src/Store/ControlPlane.cpp
@@ -4,14 +4,15 @@
 
 namespace {
 
-/// Sidecars need the list only to know how many they are; reading it as often
-/// as entries do would make its load grow with the backend servers.
-constexpr int kSidecarListFactor = 6;
+/// Sidecars need the instance list only for their number, so they read it less
+/// often than entries: else its load would grow with the number of backend
+/// servers.
+constexpr int kSidecarListPeriodFactor = 6;
 
-KeeperOptions
+ConfigurationOptions
 OptionsOf(const DaemonSettings& aSettings)
 {
-  KeeperOptions options;
+  ConfigurationOptions options;
   options.instance = aSettings.instance;
   options.dataCentre = aSettings.dataCentre;
   options.hasInstanceList = aSettings.platform.instanceList.has_value();
@@ -40,7 +41,8 @@
     plane->store = *std::move(client);
   }
   if (platform.instanceList) {
-    const int factor = aSettings.role == Role::Sidecar ? kSidecarListFactor : 1;
+    const int factor =
+      aSettings.role == Role::Sidecar ? kSidecarListPeriodFactor : 1;
     plane->list =
       std::make_unique<InstanceListClient>(aLoop,
                                            *platform.instanceList,
@@ -48,7 +50,7 @@
                                            platform.storeTimeout,
                                            *plane);
   }
-  plane->keeper = std::make_unique<ConfigurationKeeper>(
+  plane->manager = std::make_unique<ConfigurationKeeper>(
     aLoop, OptionsOf(aSettings), plane->store.get(), aPeers, aObserver);
   return plane;
 }
@@ -64,14 +66,14 @@
   if (this->list) {
     this->list->Start();
   }
-  this->keeper->Start();
+  this->manager->Start();
 }
 
 void
 ControlPlane::OnList(std::span<const ListedInstance> aList)
 {
   this->listFailed = false;
-  this->keeper->OnList(aList);
+  this->manager->OnList(aList);
   this->observer.OnList(aList);
 }
 
@@ -85,7 +87,7 @@
 ControlPlane::ContactAgeMillis() const
 {
   const auto age =
-    std::chrono::duration_cast<milliseconds>(this->keeper->StoreContactAge())
+    std::chrono::duration_cast<milliseconds>(this->manager->StoreContactAge())
       .count();
   return age < static_cast<std::int64_t>(kUnknownAge)
            ? static_cast<std::uint32_t>(age)
@@ -96,15 +98,15 @@
 ControlPlane::Describe() const
 {
   Json::Value view;
-  const KeeperCounters& counters = this->keeper->Counters();
-  const StoreView& seen = this->keeper->Store();
-  view["watching"] = this->keeper->IsWatching();
+  const ConfigurationCounters& counters = this->manager->Counters();
+  const StoreView& seen = this->manager->Store();
+  view["watching"] = this->manager->IsWatching();
   view["state"] = std::string(StoreStateName(seen.state));
   view["epoch"] = Json::UInt64(seen.epoch);
   view["contact_age_ms"] = this->ContactAgeMillis();
   view["calls"] = Json::UInt64(this->store ? this->store->CallsSent() : 0);
   view["list_failed"] = this->listFailed;
-  view["refusal"] = this->keeper->Refusal();
+  view["refusal"] = this->manager->Refusal();
   view["accepted"] = Json::UInt64(counters.accepted);
   view["refused"] = Json::UInt64(counters.refused);
   view["fetches_sent"] = Json::UInt64(counters.fetchesSent);
--- a/dogwoodvale/src/Store/ControlPlane.h
+++ b/dogwoodvale/src/Store/ControlPlane.h
@@ -12,19 +12,20 @@
 
 namespace dogwoodvale {
 
-/// Is told what the platform and the peers say.
+/// Receives the configuration in force and the instance list.
 class ControlPlaneObserver : public ConfigurationObserver
 {
 public:
   virtual void OnList(std::span<const ListedInstance> aList) = 0;
 };
 
-/// What every process has of the platform, whichever its role: the store, the
-/// list of instances, and the configuration in force.
+/// The connections of a process to the platform, the same for every role: the
+/// store, the instance list, and the configuration in force.
 class ControlPlane final : public InstanceListObserver
 {
 public:
-  /// Either of store and list may be missing from the settings.
+  /// The settings may leave out the store, the instance list or both.
+  /// \return the error of HttpStoreClient::Create.
   static absl::StatusOr<std::unique_ptr<ControlPlane>> Create(
     EventLoop& aLoop,
     const DaemonSettings& aSettings,
@@ -33,13 +34,14 @@
 
   void Start();
 
-  ConfigurationKeeper& Keeper() { return *this->keeper; }
-  const ConfigurationKeeper& Keeper() const { return *this->keeper; }
-  /// nullptr if the settings name none.
+  ConfigurationKeeper& Keeper() { return *this->manager; }
+  const ConfigurationKeeper& Keeper() const { return *this->manager; }
+  /// nullptr if the settings have no store.
   StoreClient* Store() { return this->store.get(); }
-  /// For notices, in milliseconds; kUnknownAge when no contact is known of.
+  /// Age of the newest known contact with the store, in milliseconds, as sent
+  /// to peers; kUnknownAge if none is known.
   std::uint32_t ContactAgeMillis() const;
-  /// For /statusz.
+  /// The state for /statusz.
   Json::Value Describe() const;
 
   static constexpr std::uint32_t kUnknownAge = 0xffffffffU;
@@ -53,7 +55,7 @@
   ControlPlaneObserver& observer;
   std::unique_ptr<HttpStoreClient> store;
   std::unique_ptr<InstanceListClient> list;
-  std::unique_ptr<ConfigurationKeeper> keeper;
+  std::unique_ptr<ConfigurationKeeper> manager;
   bool listFailed = false;
 };
 
--- a/dogwoodvale/src/Store/HttpExchange.cpp
+++ b/dogwoodvale/src/Store/HttpExchange.cpp
@@ -10,7 +10,8 @@
 
 namespace {
 
-/// evhttp's own timeouts are per read or write; the exchange has its own.
+/// Disables evhttp's time-outs, which apply per read or write; the exchange has
+/// its own.
 constexpr int kNoTimeoutSeconds = 24 * 3600;
 
 class EvhttpExchange : public HttpExchange
@@ -24,10 +25,10 @@
     , onDone(std::move(aOnDone))
     , timeout(aCall.timeout)
     , maxBodyBytes(aCall.maxBodyBytes)
-    , deliver(aLoop, [this] { this->Deliver(); })
-    , deadline(aLoop, [this] { this->OnDeadline(); })
+    , deliveryTimer(aLoop, [this] { this->Deliver(); })
+    , timeoutTimer(aLoop, [this] { this->OnTimeout(); })
   {
-    this->deadline.StartOnce(this->timeout);
+    this->timeoutTimer.StartOnce(this->timeout);
     this->Send(aLoop, aCall);
   }
 
@@ -39,7 +40,7 @@
     this->connection = evhttp_connection_base_new(
       aLoop.Base(), nullptr, aCall.address.ip.c_str(), aCall.address.port);
     if (this->connection == nullptr) {
-      this->Fail("no memory for a connection");
+      this->Fail("out of memory for a connection");
       return;
     }
     evhttp_connection_set_retries(this->connection, 0);
@@ -86,10 +87,10 @@
                        const evbuffer_cb_info* aInfo,
                        void* aSelf)
   {
-    // evhttp fills the buffer only once connected, so that a refused
-    // connection never gets here and surely had no effect.
+    // evhttp fills the buffer only once connected, so a request whose
+    // connection was refused never counts as written.
     auto* self = static_cast<EvhttpExchange*>(aSelf);
-    self->moved += aInfo->n_deleted;
+    self->bytesTransferred += aInfo->n_deleted;
     if (aInfo->n_deleted > 0) {
       self->answer.written = true;
     }
@@ -101,7 +102,7 @@
   {
     auto* self = static_cast<EvhttpExchange*>(aSelf);
     self->answer.received += aInfo->n_added;
-    self->moved += aInfo->n_added;
+    self->bytesTransferred += aInfo->n_added;
   }
 
   static void OnChunk(evhttp_request* aRequest, void* aSelf)
@@ -111,8 +112,8 @@
       TakeAll(evhttp_request_get_input_buffer(aRequest));
     const int code = evhttp_request_get_response_code(aRequest);
     (code == 200 ? self->part : self->answer.body) += bytes;
-    self->deadline.StartOnce(self->timeout);
-    self->deliver.StartOnce(Duration(0));
+    self->timeoutTimer.StartOnce(self->timeout);
+    self->deliveryTimer.StartOnce(Duration(0));
   }
 
   static void OnEnd(evhttp_request* aRequest, void* aSelf)
@@ -121,8 +122,9 @@
     const int code =
       aRequest == nullptr ? 0 : evhttp_request_get_response_code(aRequest);
     if (code == 0) {
-      self->Fail(self->answer.written ? "the connection was lost"
-                                      : "the connection was refused");
+      self->Fail(self->answer.written
+                   ? "the connection was lost before the response was complete"
+                   : "could not connect");
       return;
     }
     self->answer.code = code;
@@ -140,7 +142,8 @@
     absl::StatusOr<std::string> text =
       aEncoding == kCompressionName
         ? Decompress(this->answer.body, this->maxBodyBytes)
-        : absl::UnimplementedError("an encoding that was not asked for");
+        : absl::UnimplementedError(
+            "the response has a Content-Encoding that was not requested");
     this->answer.status = text.status();
     this->answer.body = text.ok() ? *std::move(text) : std::string();
   }
@@ -159,16 +162,18 @@
     this->Finish();
   }
 
-  void OnDeadline()
+  void OnTimeout()
   {
-    // A stream's deadline starts anew with each part.
-    const bool goesOn = !this->onPart && this->limit.Check(this->moved);
-    if (goesOn) {
-      this->deadline.StartOnce(this->timeout);
+    // The time-out of a stream restarts with each part.
+    const bool isProgressing =
+      !this->onPart && this->limit.Check(this->bytesTransferred);
+    if (isProgressing) {
+      this->timeoutTimer.StartOnce(this->timeout);
       return;
     }
     this->Close();
-    this->answer.status = absl::DeadlineExceededError("no answer in time");
+    this->answer.status =
+      absl::DeadlineExceededError("timed out waiting for the HTTP response");
     this->Finish();
     this->Deliver();
   }
@@ -176,25 +181,25 @@
   void Finish()
   {
     this->isDone = true;
-    this->deadline.Stop();
-    this->deliver.StartOnce(Duration(0));
+    this->timeoutTimer.Stop();
+    this->deliveryTimer.StartOnce(Duration(0));
   }
 
-  /// Runs from a timer, never inside evhttp's callbacks, where freeing the
-  /// connection would be a use after free.
+  /// Runs from a timer, never inside evhttp's callbacks: freeing the connection
+  /// there would be a use after free.
   void Deliver()
   {
     if (!this->part.empty()) {
       const std::string bytes = std::exchange(this->part, {});
       if (this->isDone) {
-        this->deliver.StartOnce(Duration(0));
+        this->deliveryTimer.StartOnce(Duration(0));
       }
       const PartHandler handler = this->onPart;
       handler(bytes);
       return;
     }
     if (this->isDone && this->onDone) {
-      this->deliver.Stop();
+      this->deliveryTimer.Stop();
       this->Close();
       const DoneHandler handler = std::exchange(this->onDone, nullptr);
       const HttpAnswer result = std::move(this->answer);
@@ -219,13 +224,14 @@
   DoneHandler onDone;
   Duration timeout;
   std::size_t maxBodyBytes;
-  Timer deliver;
-  Timer deadline;
+  Timer deliveryTimer;
+  Timer timeoutTimer;
   evhttp_connection* connection = nullptr;
   HttpAnswer answer;
   TransferLimit limit;
   /// Bytes sent and received.
-  std::size_t moved = 0;
+  std::size_t bytesTransferred = 0;
+  /// Bytes of a streamed response not yet passed to onPart.
   std::string part;
   bool isDone = false;
 };
--- a/dogwoodvale/src/Store/HttpExchange.h
+++ b/dogwoodvale/src/Store/HttpExchange.h
@@ -11,16 +11,17 @@
 
 namespace dogwoodvale {
 
-/// What one HTTP request to a service of the platform came to.
+/// The result of one HTTP request to a service of the platform.
 struct HttpAnswer
 {
-  /// OK when a whole answer came, whatever its HTTP code.
+  /// OK if a complete response came, whatever its HTTP code.
   absl::Status status;
+  /// The HTTP code; 0 if there was no response.
   int code = 0;
   std::string body;
   /// Whether the server may have seen the request.
   bool written = false;
-  /// Bytes that came, of a failed exchange too; heads count.
+  /// Bytes received, including headers, also of a failed exchange.
   std::size_t received = 0;
 };
 
@@ -31,26 +32,27 @@
   std::string method = "GET";
   std::string path;
   std::string body;
-  /// For each stretch of the exchange in which less than
-  /// TransferLimit::kLeastBytes are sent and received; of a streamed answer,
-  /// for the silence between its parts.
+  /// The exchange fails if fewer than TransferLimit::kLeastBytes are sent and
+  /// received during a period of this length; a streamed response, if this much
+  /// time passes without data.
   Duration timeout = seconds(1);
-  /// Asks for a compressed answer; one that comes is told decompressed.
+  /// Accepts a compressed response; it is decompressed before it is returned.
   bool acceptsCompressed = false;
   std::size_t maxBodyBytes = 64U << 20U;
 };
 
-/// One request on a connection of its own, by evhttp; destroying it cancels.
+/// One request on its own connection, by evhttp; destroying it cancels it.
 ///
-/// One connection a call: calls are few, and a pooled connection that the
-/// server closed meanwhile would make a refused write look like a lost one.
+/// Connections are not pooled: calls are few, and on a pooled connection that
+/// the server has closed, a write that never arrived could not be told from one
+/// whose response was lost.
 class HttpExchange
 {
 public:
-  /// Called once from the loop; may destroy the exchange.
+  /// Called once, from the event loop; may destroy the exchange.
   using DoneHandler = std::function<void(const HttpAnswer&)>;
-  /// Parts of a streamed answer with code 200, as they come; may destroy the
-  /// exchange.
+  /// Receives the parts of a streamed response with code 200 as they arrive;
+  /// may destroy the exchange.
   using PartHandler = std::function<void(std::string_view)>;
 
   static std::unique_ptr<HttpExchange> Start(EventLoop& aLoop,
--- a/dogwoodvale/src/Store/HttpStoreClient.cpp
+++ b/dogwoodvale/src/Store/HttpStoreClient.cpp
@@ -43,7 +43,7 @@
   internal::CallRequest request{ .path = "/v3/kv/range",
                                  .body =
                                    WriteJson(internal::RangeToJson(aQuery)),
-                                 .isRepeatable = true };
+                                 .isIdempotent = true };
   return this->calls.Start(
     std::move(request),
     [handler = std::move(aHandler)](const internal::CallAnswer& aAnswer) {
@@ -58,8 +58,8 @@
 WriteResult
 FailedWrite(const internal::CallAnswer& aAnswer)
 {
-  return { .outcome = aAnswer.mayHaveRun ? WriteOutcome::Unknown
-                                         : WriteOutcome::NotApplied,
+  return { .outcome = aAnswer.mayHaveBeenApplied ? WriteOutcome::Unknown
+                                                 : WriteOutcome::NotApplied,
            .status = aAnswer.status,
            .reads = {} };
 }
@@ -83,7 +83,7 @@
   internal::CallRequest request{ .path = "/v3/kv/txn",
                                  .body = WriteJson(
                                    internal::TransactionToJson(aTransaction)),
-                                 .isRepeatable = IsReadOnly(aTransaction) };
+                                 .isIdempotent = IsReadOnly(aTransaction) };
   return this->calls.Start(
     std::move(request),
     [handler = std::move(aHandler)](const internal::CallAnswer& aAnswer) {
@@ -99,7 +99,7 @@
       }
       internal::CallAnswer unreadable;
       unreadable.status = result.status();
-      unreadable.mayHaveRun = true;
+      unreadable.mayHaveBeenApplied = true;
       handler(FailedWrite(unreadable));
     });
 }
@@ -122,11 +122,11 @@
   const auto whole = std::chrono::ceil<seconds>(aTtl);
   Json::Value body(Json::objectValue);
   body["TTL"] = std::to_string(whole.count());
-  // A grant whose reply was lost leaves a lease that nobody renews, which
-  // lapses by itself; so it may be asked for again.
+  // If the response to a grant is lost, the lease is never renewed and expires
+  // by itself; so the grant may be retried.
   internal::CallRequest request{ .path = "/v3/lease/grant",
                                  .body = WriteJson(body),
-                                 .isRepeatable = true };
+                                 .isIdempotent = true };
   return this->calls.Start(std::move(request),
                            LeaseAnswer(std::move(aHandler)));
 }
@@ -137,7 +137,7 @@
   internal::CallRequest request{ .path = "/v3/lease/keepalive",
                                  .body =
                                    WriteJson(internal::LeaseToJson(aLease)),
-                                 .isRepeatable = true,
+                                 .isIdempotent = true,
                                  .isUrgent = true };
   return this->calls.Start(std::move(request),
                            LeaseAnswer(std::move(aHandler)));
--- a/dogwoodvale/src/Store/HttpStoreClient.h
+++ b/dogwoodvale/src/Store/HttpStoreClient.h
@@ -11,27 +11,30 @@
 
 struct HttpStoreOptions
 {
-  /// Tried in turn.
+  /// Used round robin: the next one after each failure.
   std::vector<SocketAddress> endpoints;
-  /// Of one try.
+  /// Of one attempt.
   Duration timeout = milliseconds(1000);
-  /// Silence on a watch after which it is armed anew; covers a connection that
-  /// was cut without a word.
+  /// Time without data on a watch after which it is re-armed; covers a
+  /// connection that was lost without being closed.
   Duration watchSilence = seconds(60);
   double callsPerSecond = 2;
   double callBurst = 20;
+  /// Including the first.
   int maxReadTries = 3;
-  Duration firstBackoff = milliseconds(100);
-  Duration longestBackoff = seconds(5);
-  /// Calls waiting for the budget beyond which a call is refused.
-  std::size_t maxWaiting = 1000;
+  Duration initialBackoff = milliseconds(100);
+  Duration maxBackoff = seconds(5);
+  /// Calls queued for the budget beyond which new ones fail with
+  /// ResourceExhausted.
+  std::size_t maxQueuedCalls = 1000;
 };
 
-/// Speaks etcd's published v3 JSON mapping by evhttp.
+/// A client of etcd's published v3 JSON mapping over HTTP, by evhttp.
 class HttpStoreClient : public StoreClient
 {
 public:
-  /// \return InvalidArgument when there is no endpoint.
+  /// \return InvalidArgument when there is no endpoint or the rate of calls is
+  /// not positive.
   static absl::StatusOr<std::unique_ptr<HttpStoreClient>> Create(
     EventLoop& aLoop,
     const HttpStoreOptions& aOptions);
--- a/dogwoodvale/src/Store/HttpStoreWatch.cpp
+++ b/dogwoodvale/src/Store/HttpStoreWatch.cpp
@@ -17,7 +17,8 @@
   , backoff(aCalls.NewBackoff())
   , timer(aCalls.Loop(), [this] { this->Read(); })
   , createdTimer(aCalls.Loop(), [this] {
-    this->Lose(absl::DeadlineExceededError("the watch was not confirmed"));
+    this->OnLoss(absl::DeadlineExceededError(
+      "the store did not confirm the watch in time"));
   })
 {
   this->Read();
@@ -31,7 +32,7 @@
     { .key = this->prefix, .isPrefix = true },
     [this](const absl::StatusOr<RangeResult>& aResult) {
       if (!aResult.ok()) {
-        this->Lose(aResult.status());
+        this->OnLoss(aResult.status());
         return;
       }
       this->handler.OnContact();
@@ -64,7 +65,7 @@
                    ? absl::UnavailableError("the store ended the watch")
                    : StatusOfCode(aAnswer);
       }
-      this->Lose(reason);
+      this->OnLoss(reason);
     });
 }
 
@@ -78,7 +79,7 @@
     const std::string_view line =
       std::string_view(this->buffer).substr(begin, end - begin);
     begin = end + 1;
-    if (!line.empty() && !this->OnLine(line)) {
+    if (!line.empty() && !this->HandleLine(line)) {
       return;
     }
   }
@@ -86,15 +87,15 @@
 }
 
 bool
-HttpStoreWatch::OnLine(std::string_view aLine)
+HttpStoreWatch::HandleLine(std::string_view aLine)
 {
   const absl::StatusOr<WatchLine> line = WatchLineFromJson(aLine);
   if (!line.ok()) {
-    this->Lose(line.status());
+    this->OnLoss(line.status());
     return false;
   }
   if (line->isCanceled) {
-    this->Lose(MakeError(
+    this->OnLoss(MakeError(
       absl::StatusCode::kOutOfRange, "watch cancelled: {}", line->reason));
     return false;
   }
@@ -108,20 +109,20 @@
 }
 
 void
-HttpStoreWatch::Lose(const absl::Status& aReason)
+HttpStoreWatch::OnLoss(const absl::Status& aReason)
 {
   this->stream.reset();
   this->createdTimer.Stop();
-  // Silence is no loss: the watch is only refreshed, and the read that goes
-  // with it tells whether the store is there.
-  const bool isSilence =
+  // A watch without data is not reported as lost: it is only re-armed, and the
+  // read that goes with that shows whether the store is reachable.
+  const bool isIdleTimeout =
     aReason.code() == absl::StatusCode::kDeadlineExceeded &&
     Now() - this->armedAt >= this->calls.Options().watchSilence;
-  if (!isSilence) {
+  if (!isIdleTimeout) {
     this->calls.NextEndpoint();
     this->handler.OnLost(aReason);
   }
-  this->timer.StartOnce(this->backoff.Next(this->calls.Uniform()));
+  this->timer.StartOnce(this->backoff.Next(this->calls.DrawUniform()));
 }
 
 } // namespace dogwoodvale::internal
--- a/dogwoodvale/src/Store/HttpStoreWatch.h
+++ b/dogwoodvale/src/Store/HttpStoreWatch.h
@@ -9,12 +9,12 @@
 
 namespace dogwoodvale::internal {
 
-/// Reads all under the prefix, then follows the changes from there; after any
-/// loss it starts over with a read.
+/// Reads all keys under the prefix, then follows the changes from that revision
+/// on; starts over with a read after each loss.
 ///
-/// Going on from the next revision would save the read, but a store that came
-/// back with older data and has since counted past that revision would hide
-/// its other history from us. The prefixes watched are small.
+/// Resuming at the next revision would save the read, but would miss changes if
+/// the store was restored from older data and its revisions have since passed
+/// that one. The watched prefixes are small.
 class HttpStoreWatch final : public StoreWatch
 {
 public:
@@ -29,9 +29,9 @@
   void Read();
   void Arm(Revision aFrom);
   void OnBytes(std::string_view aBytes);
-  /// \return false if the watch was lost by it.
-  bool OnLine(std::string_view aLine);
-  void Lose(const absl::Status& aReason);
+  /// \return false if the line ended the watch.
+  bool HandleLine(std::string_view aLine);
+  void OnLoss(const absl::Status& aReason);
 
   StoreClient& client;
   StoreCalls& calls;
--- a/dogwoodvale/src/Store/InstanceListClient.cpp
+++ b/dogwoodvale/src/Store/InstanceListClient.cpp
@@ -8,6 +8,7 @@
 
 constexpr int kHttpOk = 200;
 
+/// Of the period between reads, either way.
 constexpr double kJitter = 0.2;
 
 std::string
@@ -21,7 +22,7 @@
 ParseInstance(const Json::Value& aValue)
 {
   if (!aValue.isObject()) {
-    return absl::DataLossError("an instance in the list is not an object");
+    return absl::DataLossError("instance list: an entry is not a JSON object");
   }
   ListedInstance result;
   result.name = InstanceName(TextOf(aValue, "name"));
@@ -32,11 +33,11 @@
   const std::string state = TextOf(aValue, "state");
   const absl::StatusOr<SocketAddress> address =
     SocketAddress::Parse(TextOf(aValue, "address"));
-  const bool known = (role == "entry" || role == "sidecar") &&
-                     (state == "live" || state == "leaving");
-  if (result.name.IsEmpty() || !known || !address.ok()) {
+  const bool isKnown = (role == "entry" || role == "sidecar") &&
+                       (state == "live" || state == "leaving");
+  if (result.name.IsEmpty() || !isKnown || !address.ok()) {
     return MakeError(absl::StatusCode::kDataLoss,
-                     "instance \"{}\" in the list is malformed",
+                     "instance list: entry \"{}\" is malformed",
                      result.name.Value());
   }
   result.role = role == "entry" ? Role::Entry : Role::Sidecar;
@@ -53,7 +54,7 @@
   }
   if (aAnswer.code != kHttpOk) {
     return MakeError(absl::StatusCode::kUnavailable,
-                     "the list answered with HTTP {}",
+                     "the instance list answered with HTTP {}",
                      aAnswer.code);
   }
   return ParseInstanceList(aAnswer.body);
@@ -69,7 +70,7 @@
     return parsed.status();
   }
   if (!parsed->isObject() || !(*parsed)["instances"].isArray()) {
-    return absl::DataLossError("the list has no \"instances\"");
+    return absl::DataLossError("instance list: no array \"instances\"");
   }
   std::vector<ListedInstance> result;
   for (const Json::Value& item : (*parsed)["instances"]) {
@@ -122,21 +123,21 @@
   this->ScheduleNext();
   const absl::StatusOr<std::vector<ListedInstance>> list = ReadAnswer(aAnswer);
   if (list.ok()) {
-    if (this->failing) {
+    if (this->isFailing) {
       Log(LogLevel::Info, "instance_list_back", "instances", list->size());
     }
-    this->failing = false;
+    this->isFailing = false;
     this->hasList = true;
     this->observer.OnList(*list);
     return;
   }
-  if (!this->failing) {
+  if (!this->isFailing) {
     Log(LogLevel::Warning,
         "instance_list_failed",
         "reason",
         MessageOf(list.status()));
   }
-  this->failing = true;
+  this->isFailing = true;
   this->observer.OnListFailed(list.status());
 }
 
--- a/dogwoodvale/src/Store/InstanceListClient.h
+++ b/dogwoodvale/src/Store/InstanceListClient.h
@@ -12,23 +12,24 @@
 
 namespace dogwoodvale {
 
-/// Is told what the platform's list says.
+/// Receives the platform's instance list.
 class InstanceListObserver
 {
 public:
   virtual ~InstanceListObserver() = default;
   virtual void OnList(std::span<const ListedInstance> aList) = 0;
-  /// The list could not be had; what was known before stays.
+  /// The list could not be read; the previous one stays valid.
   virtual void OnListFailed(const absl::Status& aReason) = 0;
 };
 
 /// Parses {"instances":[{"name","role","service","data_centre","region",
-/// "address","state"}]}; one malformed entry spoils the list, as a part of a
-/// list taken for the whole would look like instances that went away.
+/// "address","state"}]}.
+/// \return DataLoss if any entry is malformed: a partial list would look as if
+/// the other instances had been removed.
 absl::StatusOr<std::vector<ListedInstance>>
 ParseInstanceList(std::string_view aText);
 
-/// Reads GET /instances every period, with jitter.
+/// Polls GET /instances with a jitter of 20% on the period.
 class InstanceListClient
 {
 public:
@@ -38,7 +39,7 @@
                      Duration aTimeout,
                      InstanceListObserver& aObserver);
 
-  /// The first read goes out at once.
+  /// Sends the first read at once.
   void Start();
   bool HasList() const { return this->hasList; }
 
@@ -56,7 +57,7 @@
   std::unique_ptr<HttpExchange> exchange;
   Timer timer;
   bool hasList = false;
-  bool failing = false;
+  bool isFailing = false;
 };
 
 } // namespace dogwoodvale
--- a/dogwoodvale/src/Store/RootReader.cpp
+++ b/dogwoodvale/src/Store/RootReader.cpp
@@ -7,8 +7,9 @@
 
 namespace {
 
+/// Of the period between confirming reads, either way.
 constexpr double kJitter = 0.3;
-/// Keeps one answer at a few megabytes.
+/// Limits one response to a few megabytes.
 constexpr std::size_t kPagesPerCall = 64;
 
 } // namespace
@@ -61,7 +62,7 @@
                           return;
                         }
                         this->observer.OnStoreContact();
-                        this->TakeRoot(aResult->values);
+                        this->ReportRoot(aResult->values);
                       });
 }
 
@@ -86,23 +87,23 @@
 }
 
 void
-RootReader::TakeRoot(std::span<const KeyValue> aValues)
+RootReader::ReportRoot(std::span<const KeyValue> aValues)
 {
   const auto root =
     std::find_if(aValues.begin(), aValues.end(), [](const KeyValue& aValue) {
       return aValue.key == kRootKey;
     });
-  const bool isThere = root != aValues.end();
-  this->rootRevision = isThere ? root->modRevision : 0;
-  this->observer.OnStoreRoot(isThere ? std::string_view(root->value)
-                                     : std::string_view());
+  const bool isPresent = root != aValues.end();
+  this->rootRevision = isPresent ? root->modRevision : 0;
+  this->observer.OnStoreRoot(isPresent ? std::string_view(root->value)
+                                       : std::string_view());
 }
 
 void
 RootReader::OnSnapshot(Revision /*aRevision*/,
                        std::span<const KeyValue> aValues)
 {
-  this->TakeRoot(aValues);
+  this->ReportRoot(aValues);
 }
 
 void
@@ -114,9 +115,9 @@
       continue;
     }
     if (change.kind == StoreChange::Kind::Put) {
-      this->TakeRoot(std::span(&change.value, 1));
+      this->ReportRoot(std::span(&change.value, 1));
     } else {
-      this->TakeRoot({});
+      this->ReportRoot({});
     }
   }
 }
@@ -137,7 +138,7 @@
 RootReader::ReadPages(std::span<const std::string> aHashes)
 {
   this->wanted.assign(aHashes.begin(), aHashes.end());
-  this->asked = 0;
+  this->requestedCount = 0;
   this->pages.clear();
   this->ReadNextPages();
 }
@@ -145,19 +146,19 @@
 void
 RootReader::ReadNextPages()
 {
-  if (this->asked == this->wanted.size()) {
+  if (this->requestedCount == this->wanted.size()) {
     this->pagesCall.reset();
-    const std::vector<Page> all = std::exchange(this->pages, {});
-    this->observer.OnStorePages(all);
+    const std::vector<Page> complete = std::exchange(this->pages, {});
+    this->observer.OnStorePages(complete);
     return;
   }
   const std::size_t count =
-    std::min(kPagesPerCall, this->wanted.size() - this->asked);
+    std::min(kPagesPerCall, this->wanted.size() - this->requestedCount);
   std::vector<std::string> keys;
   for (std::size_t i = 0; i < count; ++i) {
-    keys.push_back(PageKey(this->wanted[this->asked + i]));
+    keys.push_back(PageKey(this->wanted[this->requestedCount + i]));
   }
-  this->asked += count;
+  this->requestedCount += count;
   this->pagesCall = this->store.ReadKeys(
     keys, [this](const absl::StatusOr<RangeResult>& aResult) {
       if (!aResult.ok()) {
--- a/dogwoodvale/src/Store/RootReader.h
+++ b/dogwoodvale/src/Store/RootReader.h
@@ -14,28 +14,30 @@
 
 namespace dogwoodvale {
 
-/// Is told what the store holds of the configuration.
+/// Receives what the store holds of the configuration.
 class RootObserver
 {
 public:
   virtual ~RootObserver() = default;
-  /// \param aText the root, empty if the store has none.
+  /// \param aText the encoded root, empty if the store has none.
   virtual void OnStoreRoot(std::string_view aText) = 0;
-  /// The pages that the store has of those asked for.
+  /// Those of the requested pages that the store has.
   virtual void OnStorePages(std::span<const Page> aPages) = 0;
   virtual void OnStorePagesFailed(const absl::Status& aReason) = 0;
+  /// The store responded.
   virtual void OnStoreContact() = 0;
   virtual void OnStoreFailure(const absl::Status& aReason) = 0;
 };
 
 /// Reads the configuration's root and pages from the store.
 ///
-/// While watching it also reads the root's revision now and then: that shows a
-/// watch that went dead without a word, and a store that came back with older
-/// data.
+/// While it watches, it also polls the root's revision: this detects a watch
+/// whose connection died without being closed, and a store that was restored
+/// from older data.
 class RootReader final : public StoreWatchHandler
 {
 public:
+  /// \param aConfirmPeriod of the polls, with a jitter of 30%.
   RootReader(EventLoop& aLoop,
              StoreClient& aStore,
              Duration aConfirmPeriod,
@@ -45,8 +47,8 @@
   bool IsWatching() const { return this->watch != nullptr; }
   /// Reads the root once.
   void ReadRoot();
-  /// Reads pages, several a call; ends with OnStorePages or
-  /// OnStorePagesFailed. Drops a read of other pages under way.
+  /// Reads pages, up to 64 per call; ends with OnStorePages or
+  /// OnStorePagesFailed. Cancels an earlier read of pages that is in flight.
   void ReadPages(std::span<const std::string> aHashes);
   bool IsReadingPages() const { return this->pagesCall != nullptr; }
 
@@ -60,7 +62,7 @@
 private:
   void Confirm();
   void ScheduleConfirm();
-  void TakeRoot(std::span<const KeyValue> aValues);
+  void ReportRoot(std::span<const KeyValue> aValues);
   void ReadNextPages();
 
   StoreClient& store;
@@ -74,7 +76,7 @@
   std::unique_ptr<StoreCall> pagesCall;
   Revision rootRevision = 0;
   std::vector<std::string> wanted;
-  std::size_t asked = 0;
+  std::size_t requestedCount = 0;
   std::vector<Page> pages;
 };
 
--- a/dogwoodvale/src/Store/SlotLease.cpp
+++ b/dogwoodvale/src/Store/SlotLease.cpp
@@ -35,7 +35,7 @@
             if (this->state == State::Held) {
               this->Renew();
             } else {
-              this->Look();
+              this->ReadSlot();
             }
           })
   , backoff(aOptions.ttl / kRetriesPerTtl, aOptions.ttl)
@@ -70,7 +70,7 @@
   if (this->state == State::Idle) {
     this->state = State::Waiting;
     this->backoff.Reset();
-    this->Look();
+    this->ReadSlot();
   }
 }
 
@@ -80,30 +80,31 @@
   this->state = State::Idle;
   this->timer.Stop();
   this->call.reset();
-  this->DropLease();
+  this->RevokeOwnLease();
 }
 
 bool
 SlotLease::MayOrder(TimePoint aNow) const
 {
-  const Duration suspended = SuspendedTime() - this->suspendedBefore;
-  return this->state == State::Held && this->IsOfThisEra() &&
+  const Duration suspended = SuspendedTime() - this->suspendedAtRenewal;
+  return this->state == State::Held && this->IsCurrentEra() &&
          aNow + suspended + this->options.margin < this->expiresAt;
 }
 
 bool
-SlotLease::IsOfThisEra() const
+SlotLease::IsCurrentEra() const
 {
   return this->store.Era() == this->leaseEra;
 }
 
 void
-SlotLease::DropLease()
+SlotLease::RevokeOwnLease()
 {
-  // Also ends a creation whose reply was lost: the key goes with its lease. In
-  // a later era the lease's number may be another process's.
+  // Also undoes a creation whose response was lost, as the store deletes the
+  // key with its lease. Only in the same era: in a later one the id may belong
+  // to another process's lease.
   const LeaseId ended = std::exchange(this->lease, 0);
-  if (ended != 0 && this->IsOfThisEra()) {
+  if (ended != 0 && this->IsCurrentEra()) {
     this->revokeCall =
       this->store.RevokeLease(ended, [](const WriteResult&) {});
   }
@@ -111,25 +112,25 @@
 }
 
 void
-SlotLease::TryLater()
+SlotLease::RetryLater()
 {
   this->timer.StartOnce(this->backoff.Next(this->DrawUniform()));
 }
 
 void
-SlotLease::Look()
+SlotLease::ReadSlot()
 {
   this->call = this->store.Range(
     { .key = this->key }, [this](const absl::StatusOr<RangeResult>& aResult) {
-      this->OnLooked(aResult);
+      this->OnSlotRead(aResult);
     });
 }
 
 void
-SlotLease::OnLooked(const absl::StatusOr<RangeResult>& aResult)
+SlotLease::OnSlotRead(const absl::StatusOr<RangeResult>& aResult)
 {
   if (!aResult.ok()) {
-    this->TryLater();
+    this->RetryLater();
     return;
   }
   if (aResult->values.empty()) {
@@ -141,32 +142,33 @@
                      slot.lease == this->lease &&
                      aResult->era == this->leaseEra;
   if (isOwn) {
-    // The reply to the creation was lost; reading settles it.
+    // The response to the creation was lost, but the read shows that it took
+    // effect.
     this->keyRevision = slot.modRevision;
-    this->Hold(slot.createRevision);
+    this->OnHeld(slot.createRevision);
     return;
   }
-  this->DropLease();
-  this->TryLater();
+  this->RevokeOwnLease();
+  this->RetryLater();
 }
 
 void
 SlotLease::Grant()
 {
-  this->DropLease();
+  this->RevokeOwnLease();
   const TimePoint sentAt = Now();
   const Duration suspended = SuspendedTime();
   this->call = this->store.GrantLease(
     this->options.ttl,
     [this, sentAt, suspended](const absl::StatusOr<LeaseGrant>& aResult) {
       if (!aResult.ok()) {
-        this->TryLater();
+        this->RetryLater();
         return;
       }
       this->lease = aResult->id;
       this->leaseEra = aResult->era;
       this->expiresAt = sentAt + aResult->ttl;
-      this->suspendedBefore = suspended;
+      this->suspendedAtRenewal = suspended;
       this->Create();
     });
 }
@@ -186,25 +188,25 @@
   switch (aResult.outcome) {
     case WriteOutcome::Applied:
       if (aResult.era != this->leaseEra) {
-        this->DropLease();
-        this->TryLater();
+        this->RevokeOwnLease();
+        this->RetryLater();
         return;
       }
       this->keyRevision = aResult.revision;
-      this->Hold(aResult.revision);
+      this->OnHeld(aResult.revision);
       return;
     case WriteOutcome::NotApplied:
-      this->DropLease();
-      this->TryLater();
+      this->RevokeOwnLease();
+      this->RetryLater();
       return;
     case WriteOutcome::Unknown:
-      this->Look();
+      this->ReadSlot();
       return;
   }
 }
 
 void
-SlotLease::Hold(Revision aCreated)
+SlotLease::OnHeld(Revision aCreated)
 {
   this->state = State::Held;
   this->fencing = FencingTokenOf(this->leaseEra, aCreated);
@@ -237,14 +239,15 @@
                      TimePoint aSentAt,
                      Duration aSuspended)
 {
-  // A number of another era is a new lease's, perhaps of another process.
-  const bool isGone = aResult.ok() ? aResult->era != this->leaseEra
-                                   : absl::IsNotFound(aResult.status());
-  if (isGone) {
-    this->Lose();
+  // In another era the same id belongs to a new lease, perhaps of another
+  // process.
+  const bool isExpired = aResult.ok() ? aResult->era != this->leaseEra
+                                      : absl::IsNotFound(aResult.status());
+  if (isExpired) {
+    this->OnLeaseLost();
   } else if (aResult.ok()) {
     this->expiresAt = aSentAt + aResult->ttl;
-    this->suspendedBefore = aSuspended;
+    this->suspendedAtRenewal = aSuspended;
     this->timer.StartOnce(this->options.ttl / kRenewalsPerTtl);
   } else {
     this->timer.StartOnce(this->options.ttl / kRetriesPerTtl);
@@ -252,14 +255,14 @@
 }
 
 void
-SlotLease::Lose()
+SlotLease::OnLeaseLost()
 {
   Log(
     LogLevel::Warning, "slot_lost", "key", this->key, "fencing", this->fencing);
   this->state = State::Waiting;
   this->lease = 0;
   this->fencing = 0;
-  this->TryLater();
+  this->RetryLater();
   this->observer.OnSlotLost();
 }
 
--- a/dogwoodvale/src/Store/SlotLease.h
+++ b/dogwoodvale/src/Store/SlotLease.h
@@ -11,26 +11,28 @@
 
 namespace dogwoodvale {
 
-/// Tells the orders of one holder from those of the next: who receives them
-/// refuses a lower one than it has seen.
+/// Fencing token: rises with each holder. A receiver of orders rejects a token
+/// lower than the highest it has seen, and so orders of former holders.
 using FencingToken = std::int64_t;
 
-/// \param aCreated the revision that created the holder's key. Revisions of a
-/// later era may be lower, so the era stands above them. Fits into 53 bits, as
-/// far as JSON numbers are whole, for 2^13 eras of 2^40 revisions.
+/// The era in the bits above the 40 of the revision, as revisions of a later
+/// era may be lower. Stays below 2^53, up to which JSON numbers are exact
+/// integers, for 2^13 eras of 2^40 revisions. \param aCreated the revision that
+/// created the holder's key.
 FencingToken
 FencingTokenOf(StoreEra aEra, Revision aCreated);
 
 struct SlotLeaseOptions
 {
-  /// Whole seconds.
+  /// Time to live of the lease; whole seconds.
   Duration ttl = seconds(15);
-  /// How long before the lease lapses its holder stops: covers the drift of
-  /// two clocks over one ttl, and an order's way to the engine.
+  /// How long before the lease expires its holder stops sending orders: covers
+  /// the drift of the two clocks over one ttl, and the time an order takes to
+  /// reach the engine.
   Duration margin = seconds(2);
 };
 
-/// Is told when the slot is gained or lost.
+/// Is notified when the slot is acquired or lost.
 class SlotLeaseObserver
 {
 public:
@@ -39,18 +41,20 @@
   virtual void OnSlotLost() = 0;
 };
 
-/// The right to give orders to one backend server: a key in the store that
-/// lives as long as its holder's lease is renewed.
+/// The exclusive right to send orders to one backend server: a key in the store
+/// that is attached to its holder's lease and exists while that is renewed.
 ///
-/// The holder trusts its own clock, not the store's word: a lease counts from
-/// when its renewal was sent, the time included for which the machine was
-/// suspended. A holder that was paused past that finds on its first look at the
-/// clock that it holds nothing, before it hears of it. A lease of an earlier
-/// era of the store is none.
+/// The holder computes the expiry from its own clock and does not wait for the
+/// store to report it: the time to live counts from when the renewal was sent,
+/// and time during which the machine was suspended counts too. So a holder that
+/// was paused past the expiry sees on its next check of the clock that it no
+/// longer holds the slot, before the store tells it. A lease of an earlier era
+/// of the store is void.
 class SlotLease
 {
 public:
-  /// \param aHolder names this process and run, to know one's own key again.
+  /// \param aHolder identifies this run of the process, so that it recognises a
+  /// key that it created itself.
   SlotLease(EventLoop& aLoop,
             StoreClient& aStore,
             const std::string& aKey,
@@ -61,18 +65,20 @@
   SlotLease(const SlotLease&) = delete;
   SlotLease& operator=(const SlotLease&) = delete;
 
-  /// Tries until it is held, and again if it is lost.
+  /// Keeps trying until the slot is held, and again after it was lost.
   void Acquire();
-  /// Gives it up, and tells the store.
+  /// Gives the slot up and revokes the lease in the store.
   void Release();
 
-  /// Whether an order may go out now. Look right before each one.
+  /// Whether an order may be sent at \p aNow. Check right before each order, as
+  /// the process may have been paused in between.
   bool MayOrder(TimePoint aNow) const;
-  /// Higher for each holder, also over the store's eras.
+  /// Higher for each holder, also across eras of the store; 0 while not held.
   FencingToken Fencing() const { return this->fencing; }
-  /// The store's era in which it is held.
+  /// The era of the store in which the lease was granted.
   StoreEra Era() const { return this->leaseEra; }
-  /// The key's latest change, for transactions that only its holder may make.
+  /// The key's latest change: comparing with it limits a transaction to the
+  /// slot's holder.
   Revision KeyRevision() const { return this->keyRevision; }
   bool IsHeld() const { return this->state == State::Held; }
   bool IsWanted() const { return this->state != State::Idle; }
@@ -89,8 +95,8 @@
     Held,
   };
 
-  void Look();
-  void OnLooked(const absl::StatusOr<RangeResult>& aResult);
+  void ReadSlot();
+  void OnSlotRead(const absl::StatusOr<RangeResult>& aResult);
   void Grant();
   void Create();
   void OnCreated(const WriteResult& aResult);
@@ -98,11 +104,11 @@
   void OnRenewed(const absl::StatusOr<LeaseGrant>& aResult,
                  TimePoint aSentAt,
                  Duration aSuspended);
-  void Hold(Revision aCreated);
-  bool IsOfThisEra() const;
-  void Lose();
-  void TryLater();
-  void DropLease();
+  void OnHeld(Revision aCreated);
+  bool IsCurrentEra() const;
+  void OnLeaseLost();
+  void RetryLater();
+  void RevokeOwnLease();
   double DrawUniform();
 
   StoreClient& store;
@@ -121,8 +127,8 @@
   Revision keyRevision = 0;
   FencingToken fencing = 0;
   TimePoint expiresAt;
-  /// See SuspendedTime(), when the lease was last renewed.
-  Duration suspendedBefore{ 0 };
+  /// SuspendedTime() when the lease was last renewed.
+  Duration suspendedAtRenewal{ 0 };
   TimePoint acquiredAt;
 };
 
--- a/dogwoodvale/src/Store/StoreCallBudget.cpp
+++ b/dogwoodvale/src/Store/StoreCallBudget.cpp
@@ -8,30 +8,30 @@
 StoreCallBudget::StoreCallBudget(double aCallsPerSecond,
                                  double aBurst,
                                  TimePoint aNow)
-  : perSecond(aCallsPerSecond)
+  : callsPerSecond(aCallsPerSecond)
   , burst(std::max(1.0, aBurst))
-  , level(this->burst)
+  , tokens(this->burst)
   , updatedAt(aNow)
 {
 }
 
 double
-StoreCallBudget::Level(TimePoint aNow) const
+StoreCallBudget::TokensAt(TimePoint aNow) const
 {
   const double passed =
     std::chrono::duration<double>(aNow - this->updatedAt).count();
   return std::min(this->burst,
-                  this->level + std::max(0.0, passed) * this->perSecond);
+                  this->tokens + std::max(0.0, passed) * this->callsPerSecond);
 }
 
 bool
 StoreCallBudget::TryTake(TimePoint aNow)
 {
-  const double now = this->Level(aNow);
+  const double now = this->TokensAt(aNow);
   if (now < 1) {
     return false;
   }
-  this->level = now - 1;
+  this->tokens = now - 1;
   this->updatedAt = aNow;
   return true;
 }
@@ -39,11 +39,11 @@
 bool
 StoreCallBudget::TryTakeUrgent(TimePoint aNow)
 {
-  const double now = this->Level(aNow);
+  const double now = this->TokensAt(aNow);
   if (now < 1 - this->burst) {
     return false;
   }
-  this->level = now - 1;
+  this->tokens = now - 1;
   this->updatedAt = aNow;
   return true;
 }
@@ -51,11 +51,11 @@
 Duration
 StoreCallBudget::Wait(TimePoint aNow) const
 {
-  const double missing = 1 - this->Level(aNow);
-  if (missing <= 0) {
+  const double deficit = 1 - this->TokensAt(aNow);
+  if (deficit <= 0) {
     return Duration(0);
   }
-  const double micros = missing / this->perSecond * 1e6;
+  const double micros = deficit / this->callsPerSecond * 1e6;
   return Duration(static_cast<Duration::rep>(std::ceil(micros)));
 }
 
--- a/dogwoodvale/src/Store/StoreCallBudget.h
+++ b/dogwoodvale/src/Store/StoreCallBudget.h
@@ -5,29 +5,29 @@
 
 namespace dogwoodvale {
 
-/// Bounds a process's calls to the store: a token bucket.
+/// Token bucket that limits one process's calls to the store.
 ///
-/// The store's rate grows more slowly than the fleet. Without a bound of each
-/// process, an outage ends with every process calling at once, and the store
-/// goes down again.
+/// The rate that the store can serve grows more slowly than the fleet. Without
+/// a limit per process, all processes call at once when an outage ends, and
+/// overload the store again.
 class StoreCallBudget
 {
 public:
   StoreCallBudget(double aCallsPerSecond, double aBurst, TimePoint aNow);
 
-  /// Takes a call's token if there is one.
+  /// Takes the token of one call if there is one.
   bool TryTake(TimePoint aNow);
-  /// Takes a token ahead of others, leaving a debt of up to one burst: for
-  /// renewals of leases, whose delay would cost the lease.
+  /// Takes a token even if that overdraws the bucket, by up to one burst: for
+  /// lease renewals, as a delayed renewal would lose the lease.
   bool TryTakeUrgent(TimePoint aNow);
-  /// How long until TryTake may succeed; zero if it would now.
+  /// Time until TryTake may succeed; zero if it would succeed now.
   Duration Wait(TimePoint aNow) const;
 
 private:
-  double Level(TimePoint aNow) const;
-  double perSecond;
+  double TokensAt(TimePoint aNow) const;
+  double callsPerSecond;
   double burst;
-  double level;
+  double tokens;
   TimePoint updatedAt;
 };
 
--- a/dogwoodvale/src/Store/StoreCalls.cpp
+++ b/dogwoodvale/src/Store/StoreCalls.cpp
@@ -8,10 +8,10 @@
 
 namespace {
 
-/// Whether a refusal was made before anything took effect. A 503 or 504 is
-/// also what the store says when its own write timed out half way.
+/// Whether an error code means that the write took no effect and never will.
+/// The store also sends 503 and 504 when its own write timed out half way.
 bool
-IsSureRefusal(int aCode)
+IsDefinitelyNotApplied(int aCode)
 {
   return aCode >= 400 && aCode < 500;
 }
@@ -57,13 +57,13 @@
 
 QueuedCall::~QueuedCall()
 {
-  this->calls.Forget(this);
+  this->calls.Remove(this);
 }
 
 void
 QueuedCall::Send()
 {
-  ++this->tries;
+  ++this->attempts;
   this->calls.CountCall();
   HttpCall call;
   call.address = this->calls.Endpoint();
@@ -78,7 +78,7 @@
 }
 
 void
-QueuedCall::Refuse(const absl::Status& aReason)
+QueuedCall::Fail(const absl::Status& aReason)
 {
   CallAnswer answer;
   answer.status = aReason;
@@ -92,8 +92,8 @@
   if (aAnswer.status.ok() && aAnswer.code == 200) {
     absl::StatusOr<Json::Value> body = ParseJson(aAnswer.body);
     answer.status = body.status();
-    // The store ran it, but what came back can't be read.
-    answer.mayHaveRun = !body.ok();
+    // The store applied the call, but its response can't be parsed.
+    answer.mayHaveBeenApplied = !body.ok();
     if (body.ok()) {
       answer.body = *std::move(body);
     }
@@ -106,10 +106,10 @@
   }
   if (aAnswer.status.ok()) {
     answer.status = StatusOfCode(aAnswer);
-    answer.mayHaveRun = !IsSureRefusal(aAnswer.code);
+    answer.mayHaveBeenApplied = !IsDefinitelyNotApplied(aAnswer.code);
   } else {
     answer.status = aAnswer.status;
-    answer.mayHaveRun = aAnswer.written;
+    answer.mayHaveBeenApplied = aAnswer.written;
   }
   this->Finish(answer);
 }
@@ -118,28 +118,28 @@
 QueuedCall::MayRetry(const HttpAnswer& aAnswer) const
 {
   const HttpStoreOptions& options = this->calls.Options();
-  if (this->request.isRepeatable) {
+  if (this->request.isIdempotent) {
     const bool isTransient =
       !aAnswer.status.ok() || aAnswer.code == 429 || aAnswer.code >= 500;
-    return isTransient && this->tries < options.maxReadTries;
+    return isTransient && this->attempts < options.maxReadTries;
   }
-  // A write that may have been seen is never sent again: by then another may
-  // have followed it, which the second copy would undo.
+  // A write that the store may have received is never sent again: another write
+  // may have followed it, which the duplicate would undo.
   const auto endpoints = static_cast<int>(options.endpoints.size());
-  return !aAnswer.status.ok() && !aAnswer.written && this->tries < endpoints;
+  return !aAnswer.status.ok() && !aAnswer.written && this->attempts < endpoints;
 }
 
 void
 QueuedCall::Retry()
 {
   this->calls.NextEndpoint();
-  this->timer.StartOnce(this->backoff.Next(this->calls.Uniform()));
+  this->timer.StartOnce(this->backoff.Next(this->calls.DrawUniform()));
 }
 
 void
 QueuedCall::Finish(const CallAnswer& aAnswer)
 {
-  if (!aAnswer.status.ok() && this->tries > 0) {
+  if (!aAnswer.status.ok() && this->attempts > 0) {
     this->calls.NextEndpoint();
   }
   const Done handler = std::exchange(this->done, nullptr);
@@ -153,7 +153,7 @@
   , random(DrawIncarnation())
   , queueTimer(aLoop, [this] { this->SendWaiting(); })
 {
-  // Fleets share one list of endpoints; start at a random one.
+  // All processes have the same list of endpoints; a random start spreads them.
   this->endpoint = this->random() % this->options.endpoints.size();
 }
 
@@ -173,28 +173,28 @@
     aCall->Send();
     return;
   }
-  this->waiting.push_back(aCall);
+  this->queue.push_back(aCall);
   if (!this->queueTimer.IsPending()) {
     this->queueTimer.StartOnce(
-      this->waiting.size() == 1 ? this->budget.Wait(Now()) : Duration(0));
+      this->queue.size() == 1 ? this->budget.Wait(Now()) : Duration(0));
   }
 }
 
 void
 StoreCalls::SendWaiting()
 {
-  while (this->waiting.size() > this->options.maxWaiting) {
-    QueuedCall* newest = this->waiting.back();
-    this->waiting.pop_back();
-    newest->Refuse(absl::ResourceExhaustedError(
-      "too many calls wait for this process's share of the store"));
+  while (this->queue.size() > this->options.maxQueuedCalls) {
+    QueuedCall* newest = this->queue.back();
+    this->queue.pop_back();
+    newest->Fail(absl::ResourceExhaustedError(
+      "too many calls to the store queued for this process's rate limit"));
   }
-  while (!this->waiting.empty() && this->budget.TryTake(Now())) {
-    QueuedCall* next = this->waiting.front();
-    this->waiting.pop_front();
+  while (!this->queue.empty() && this->budget.TryTake(Now())) {
+    QueuedCall* next = this->queue.front();
+    this->queue.pop_front();
     next->Send();
   }
-  if (!this->waiting.empty()) {
+  if (!this->queue.empty()) {
     this->queueTimer.StartOnce(this->budget.Wait(Now()));
   }
 }
--- a/dogwoodvale/src/Store/StoreCalls.h
+++ b/dogwoodvale/src/Store/StoreCalls.h
@@ -15,28 +15,29 @@
 
 namespace dogwoodvale::internal {
 
-/// What one call came to, as JSON.
+/// The result of one call, as JSON.
 struct CallAnswer
 {
   absl::Status status;
   Json::Value body;
-  /// For writes that failed.
-  bool mayHaveRun = false;
+  /// For failed writes: whether it may still have taken effect.
+  bool mayHaveBeenApplied = false;
 };
 
 struct CallRequest
 {
   std::string path;
   std::string body;
-  /// May be sent again whatever happened to it.
-  bool isRepeatable = false;
-  /// Ahead of the budget's queue.
+  /// Idempotent: may be sent again whatever became of an earlier attempt.
+  bool isIdempotent = false;
+  /// Sent ahead of the calls that wait for the budget, and may overdraw it.
   bool isUrgent = false;
 };
 
 class StoreCalls;
 
-/// One call: waits for the budget, is tried, is perhaps tried again.
+/// One call: queued until the budget allows it, sent, and retried where that is
+/// safe.
 class QueuedCall final : public StoreCall
 {
 public:
@@ -48,7 +49,7 @@
   QueuedCall& operator=(const QueuedCall&) = delete;
 
   void Send();
-  void Refuse(const absl::Status& aReason);
+  void Fail(const absl::Status& aReason);
   const CallRequest& Request() const { return this->request; }
 
 private:
@@ -63,28 +64,28 @@
   Backoff backoff;
   Timer timer;
   std::unique_ptr<HttpExchange> exchange;
-  int tries = 0;
+  int attempts = 0;
 };
 
-/// What all calls to the store share: endpoints, budget and queue.
+/// State shared by all calls to the store: endpoints, budget and queue.
 class StoreCalls
 {
 public:
   StoreCalls(EventLoop& aLoop, const HttpStoreOptions& aOptions);
 
-  /// Must not outlive this.
+  /// \return the call, which must not outlive this object.
   std::unique_ptr<StoreCall> Start(CallRequest aRequest,
                                    QueuedCall::Done aDone);
 
   EventLoop& Loop() { return this->loop; }
   const HttpStoreOptions& Options() const { return this->options; }
-  double Uniform()
+  double DrawUniform()
   {
     return std::uniform_real_distribution<double>(0, 1)(this->random);
   }
   Backoff NewBackoff() const
   {
-    return { this->options.firstBackoff, this->options.longestBackoff };
+    return { this->options.initialBackoff, this->options.maxBackoff };
   }
   const SocketAddress& Endpoint() const
   {
@@ -96,7 +97,8 @@
   }
   std::uint64_t CallsSent() const { return this->callsSent; }
   void CountCall() { ++this->callsSent; }
-  /// A watch goes out right after its read, which has waited for the budget.
+  /// A watch is sent right after its read, which has waited for the budget, so
+  /// it takes its token at once instead of queueing.
   void ChargeWatch()
   {
     this->CountCall();
@@ -104,7 +106,7 @@
   }
 
   void Enqueue(QueuedCall* aCall);
-  void Forget(QueuedCall* aCall) { std::erase(this->waiting, aCall); }
+  void Remove(QueuedCall* aCall) { std::erase(this->queue, aCall); }
 
 private:
   void SendWaiting();
@@ -114,12 +116,12 @@
   StoreCallBudget budget;
   std::mt19937_64 random;
   std::size_t endpoint = 0;
-  std::deque<QueuedCall*> waiting;
+  std::deque<QueuedCall*> queue;
   Timer queueTimer;
   std::uint64_t callsSent = 0;
 };
 
-/// The error that an HTTP code of the store stands for.
+/// The error for an HTTP response of the store with a code other than 200.
 absl::Status
 StatusOfCode(const HttpAnswer& aAnswer);
 
--- a/dogwoodvale/src/Store/StoreClient.h
+++ b/dogwoodvale/src/Store/StoreClient.h
@@ -9,50 +9,50 @@
 
 namespace dogwoodvale {
 
-/// One call under way. Destroying it drops the answer; a write may still take
-/// effect then.
+/// A call in flight. Destroying it drops the result; a write may still take
+/// effect.
 class StoreCall
 {
 public:
   virtual ~StoreCall() = default;
 };
 
-/// Is told what a watch sees. Callbacks must not destroy the watch.
+/// Receives the events of a watch. Callbacks must not destroy the watch.
 class StoreWatchHandler
 {
 public:
   virtual ~StoreWatchHandler() = default;
-  /// All values under the watched prefix: first, and again whenever changes
-  /// may have been missed (the store compacted them, restarted, or came back
-  /// with another history).
-  /// \param aRevision may be lower than one seen before, if the store lost
-  /// data.
+  /// All values under the watched prefix: at the start of the watch, and again
+  /// whenever changes may have been missed (the store compacted them,
+  /// restarted, or was restored with another history). \param aRevision may be
+  /// lower than an earlier one if the store lost data.
   virtual void OnSnapshot(Revision aRevision,
                           std::span<const KeyValue> aValues) = 0;
   /// Changes since the snapshot, in order.
   virtual void OnChanges(Revision aRevision,
                          std::span<const StoreChange> aChanges) = 0;
-  /// The store gave a sign of life on this watch.
+  /// The store sent something on this watch, perhaps only a progress message.
   virtual void OnContact() {}
-  /// The watch is being re-armed; reported at each failed try.
+  /// The watch was lost and is being re-armed; called after each failed
+  /// attempt.
   virtual void OnLost(const absl::Status& aReason) = 0;
 };
 
-/// A watch that keeps itself armed until destroyed.
+/// A watch that re-arms itself after each loss until it is destroyed.
 class StoreWatch
 {
 public:
   virtual ~StoreWatch() = default;
-  /// Asks anew on a fresh connection, e.g. after the process stood still, when
-  /// the old one may be dead without a word. An answer that is coming in is
-  /// left to come.
+  /// Restarts the watch on a new connection, e.g. after the process was
+  /// suspended, when the old connection may be dead without having been closed.
+  /// A response that is being received is left to complete.
   virtual void Rearm() = 0;
 };
 
 /// The platform's key-value store.
 ///
-/// Each call has one answer, given from the event loop and never from within
-/// the call. The handler may destroy the call.
+/// Each call invokes its handler once, from the event loop and never from
+/// within the call. The handler may destroy the call.
 class StoreClient
 {
 public:
@@ -62,32 +62,34 @@
 
   virtual ~StoreClient() = default;
 
-  /// Retried within bounds.
+  /// Retried up to a bounded number of attempts.
   [[nodiscard]] virtual std::unique_ptr<StoreCall> Range(
     const RangeQuery& aQuery,
     RangeHandler aHandler) = 0;
-  /// Sent once; tried at another endpoint only if it surely was not sent.
+  /// Sent once, and to another endpoint only if nothing of it was sent; a
+  /// transaction that only reads may be retried.
   [[nodiscard]] virtual std::unique_ptr<StoreCall> Commit(
     const Transaction& aTransaction,
     WriteHandler aHandler) = 0;
   [[nodiscard]] virtual std::unique_ptr<StoreCall> GrantLease(
     Duration aTtl,
     LeaseHandler aHandler) = 0;
-  /// Answers with the time left; NotFound when the lease has lapsed.
+  /// Renews the lease; gives its new time to live, NotFound if it has expired.
   [[nodiscard]] virtual std::unique_ptr<StoreCall> KeepAlive(
     LeaseId aLease,
     LeaseHandler aHandler) = 0;
   [[nodiscard]] virtual std::unique_ptr<StoreCall> RevokeLease(
     LeaseId aLease,
     WriteHandler aHandler) = 0;
-  /// Reads all under \p aPrefix and follows its changes.
+  /// Reads all keys under \p aPrefix, then follows their changes.
+  /// \param aHandler must outlive the watch.
   [[nodiscard]] virtual std::unique_ptr<StoreWatch> Watch(
     const std::string& aPrefix,
     StoreWatchHandler& aHandler) = 0;
 
-  /// The newest era that an answer has told.
+  /// The newest era that a response reported; 0 if the store reports none.
   virtual StoreEra Era() const { return 0; }
-  /// Calls sent, a watch armed counting as one.
+  /// Calls sent; arming a watch counts as one.
   virtual std::uint64_t CallsSent() const = 0;
 
   [[nodiscard]] std::unique_ptr<StoreCall> Put(const std::string& aKey,
@@ -97,25 +99,26 @@
                                                        bool aIsPrefix,
                                                        WriteHandler aHandler);
   /// Puts the key if it is absent; else NotApplied with FailedPrecondition and
-  /// the present value in reads[0].
+  /// the current value in reads[0].
   [[nodiscard]] std::unique_ptr<StoreCall> CreateIfAbsent(
     const std::string& aKey,
     const std::string& aValue,
     LeaseId aLease,
     WriteHandler aHandler);
   /// Puts the key if its latest change is still \p aModRevision (0: absent);
-  /// else NotApplied with FailedPrecondition and the present value in reads[0].
+  /// else NotApplied with FailedPrecondition and the current value in reads[0].
   [[nodiscard]] std::unique_ptr<StoreCall> CompareAndSwap(
     const std::string& aKey,
     Revision aModRevision,
     const std::string& aValue,
     WriteHandler aHandler);
-  /// Several keys in one call; absent ones are left out of the answer.
+  /// Reads several keys, at most kMaxOperations, in one call; absent keys are
+  /// left out of the result.
   [[nodiscard]] std::unique_ptr<StoreCall> ReadKeys(
     std::span<const std::string> aKeys,
     RangeHandler aHandler);
 
-  /// Most operations of one transaction (the store's default bound).
+  /// Maximum operations in one transaction (the store's default limit).
   static constexpr std::size_t kMaxOperations = 128;
 };
 
--- a/dogwoodvale/src/Store/StoreJson.cpp
+++ b/dogwoodvale/src/Store/StoreJson.cpp
@@ -15,7 +15,8 @@
   return absl::Base64Escape(ToAbsl(aBytes));
 }
 
-/// The end of the range of all keys that start with \p aPrefix.
+/// The exclusive end of the range of all keys that start with \p aPrefix; a
+/// zero byte (no end) if the prefix is empty or all 0xff.
 std::string
 PrefixEnd(std::string aPrefix)
 {
@@ -33,11 +34,13 @@
 absl::Status
 Malformed(std::string_view aWhat)
 {
-  return MakeError(
-    absl::StatusCode::kDataLoss, "the store's answer has a bad {}", aWhat);
+  return MakeError(absl::StatusCode::kDataLoss,
+                   "the store's response has a malformed {}",
+                   aWhat);
 }
 
-/// Reads fields and remembers whether any had the wrong type.
+/// Reads fields of an object and records whether any had the wrong type. Absent
+/// fields give the type's default.
 class FieldReader
 {
 public:
@@ -324,9 +327,10 @@
     return Malformed("transaction");
   }
   result.outcome = succeeded ? WriteOutcome::Applied : WriteOutcome::NotApplied;
-  result.status = succeeded ? absl::OkStatus()
-                            : absl::FailedPreconditionError(
-                                "the store holds another value meanwhile");
+  result.status = succeeded
+                    ? absl::OkStatus()
+                    : absl::FailedPreconditionError(
+                        "a comparison of the transaction does not hold");
   return result;
 }
 
@@ -342,7 +346,7 @@
     return Malformed("lease");
   }
   if (lease.ttl <= Duration(0) || lease.id == 0) {
-    return absl::NotFoundError("the lease has lapsed");
+    return absl::NotFoundError("the lease has expired");
   }
   return lease;
 }
@@ -401,8 +405,8 @@
       return inner;
     }
   }
-  constexpr std::size_t kMostShown = 200;
-  return std::string(aBody.substr(0, kMostShown));
+  constexpr std::size_t kMaxShownBytes = 200;
+  return std::string(aBody.substr(0, kMaxShownBytes));
 }
 
 } // namespace dogwoodvale::internal
--- a/dogwoodvale/src/Store/StoreJson.h
+++ b/dogwoodvale/src/Store/StoreJson.h
@@ -14,7 +14,8 @@
 namespace dogwoodvale::internal {
 
 /// etcd's published v3 JSON mapping: bytes in base64, 64-bit integers as
-/// strings, fields at their default left out.
+/// strings, fields with default values left out. The ...FromJson functions
+/// return DataLoss if a field is malformed.
 
 Json::Value
 RangeToJson(const RangeQuery& aQuery);
@@ -29,16 +30,17 @@
 RangeFromJson(const Json::Value& aValue);
 absl::StatusOr<WriteResult>
 WriteFromJson(const Json::Value& aValue);
-/// Of a grant, or of a renewal (inside "result").
+/// Reads the response to a grant, or to a renewal (wrapped in "result").
+/// \return NotFound if the lease has expired.
 absl::StatusOr<LeaseGrant>
 LeaseFromJson(const Json::Value& aValue);
 
-/// One line of a watch.
+/// One message of a watch, sent as a line of JSON.
 struct WatchLine
 {
   Revision revision = 0;
   bool isCreated = false;
-  /// The store ends the watch, e.g. as the revision was compacted.
+  /// The store ended the watch, e.g. because the start revision was compacted.
   bool isCanceled = false;
   std::string reason;
   std::vector<StoreChange> changes;
@@ -47,7 +49,8 @@
 absl::StatusOr<WatchLine>
 WatchLineFromJson(std::string_view aLine);
 
-/// The message of an error body; the body itself if it has none.
+/// The message in the body of an error response; without one, the first 200
+/// bytes of the body itself.
 std::string
 ErrorMessage(std::string_view aBody);
 
--- a/dogwoodvale/src/Store/StoreTypes.h
+++ b/dogwoodvale/src/Store/StoreTypes.h
@@ -9,25 +9,27 @@
 
 namespace dogwoodvale {
 
-/// The store's counter of changes, over all keys.
+/// The store's change counter, shared by all keys.
 using Revision = std::int64_t;
 using LeaseId = std::int64_t;
-/// How often the store has come back from an older copy of its data. What it
-/// acknowledged since that copy is gone, leases are, and revisions are given
-/// out again: those of two eras don't compare. 0 where the store doesn't tell.
+/// How many times the store was restored from an older copy of its data. A
+/// restore loses all writes acknowledged since that copy and all leases, and
+/// assigns the same revisions and lease ids again; so revisions of different
+/// eras are not comparable. 0 if the store does not report it.
 using StoreEra = std::uint64_t;
 
 struct KeyValue
 {
   std::string key;
   std::string value;
-  /// Of the change that created the key; a new life of a key has a new one.
+  /// Revision of the change that created the key; a key that was deleted and
+  /// created again has a new one.
   Revision createRevision = 0;
-  /// Of the key's latest change.
+  /// Revision of the key's latest change.
   Revision modRevision = 0;
-  /// Changes since creation.
+  /// Number of changes since creation; 1 after creation.
   std::int64_t version = 0;
-  /// 0: none.
+  /// The lease the key is attached to; 0: none.
   LeaseId lease = 0;
 };
 
@@ -36,11 +38,11 @@
   std::string key;
   /// All keys that start with \c key.
   bool isPrefix = false;
-  /// 0: no bound.
+  /// Maximum number of values returned; 0: unlimited.
   std::int64_t limit = 0;
-  /// The answer may be some seconds old; cheaper for the store.
+  /// Accepts a result that is some seconds old, which is cheaper for the store.
   bool allowStale = false;
-  /// Answer with keys alone.
+  /// Leaves the values out of the result.
   bool keysOnly = false;
 };
 
@@ -50,12 +52,12 @@
   Revision revision = 0;
   std::vector<KeyValue> values;
   bool hasMore = false;
-  /// All values are of this era.
+  /// The era of all values.
   StoreEra era = 0;
 };
 
-/// Holds if the key's property equals the value; an absent key has revisions
-/// and version 0.
+/// Holds if the property \c target of the key equals \c number (\c value for
+/// Target::Value). An absent key has revisions and version 0.
 struct Compare
 {
   enum class Target : std::uint8_t
@@ -88,8 +90,8 @@
   bool isPrefix = false;
 };
 
-/// All of \c then if all of \c when holds, else all of \c otherwise; whole or
-/// not at all.
+/// Runs all of \c then if all comparisons of \c when hold, else all of
+/// \c otherwise. Atomic.
 struct Transaction
 {
   std::vector<Compare> when;
@@ -97,13 +99,14 @@
   std::vector<Operation> otherwise;
 };
 
-/// What became of a write.
+/// The outcome of a write.
 enum class WriteOutcome : std::uint8_t
 {
   Applied,
   /// It took no effect and never will.
   NotApplied,
-  /// It was sent and no answer came: read back to settle it.
+  /// It was sent and no valid response came, so it may or may not have taken
+  /// effect: read the key back to find out.
   Unknown,
 };
 
@@ -114,11 +117,11 @@
 {
   WriteOutcome outcome = WriteOutcome::Unknown;
   /// OK when applied; FailedPrecondition when a comparison did not hold; else
-  /// why it was refused or what was lost.
+  /// the error of the store or of the connection.
   absl::Status status;
-  /// The store's revision after it, if known.
+  /// The store's revision after the write; 0 if unknown.
   Revision revision = 0;
-  /// What the range operations of the branch that ran have read, in order.
+  /// Results of the range operations of the branch that ran, in order.
   std::vector<std::vector<KeyValue>> reads;
   StoreEra era = 0;
 };
--- a/test/ConfigurationKeeper.cpp
+++ b/test/ConfigurationKeeper.cpp
@@ -95,14 +95,14 @@
   CHECK(absl::IsFailedPrecondition(Take(state, MakeChange(4)).status()));
   CHECK(absl::IsFailedPrecondition(
     Take(state, MakeChange(5, Sources(9))).status()));
-  CHECK(state.Judge(5, "other") == Announcement::Conflict);
+  CHECK(state.Classify(5, "other") == EpochRelation::Conflict);
 
   Change partial = MakeChange(6, Sources(6, 200));
   REQUIRE(partial.pages.size() > 1);
   const std::vector<Page> all = std::exchange(partial.pages, {});
   CHECK_FALSE(*Take(state, partial));
   // Cut or crossed on its way; the good one that comes later must do.
-  const Page forged{ state.Missing().front(), "{}" };
+  const Page forged{ state.MissingPages().front(), "{}" };
   CHECK(state.AddPages(std::span(&forged, 1)) == 0);
   CHECK(state.CurrentHash() == hash);
   // The page of the services is held already.
@@ -121,7 +121,7 @@
   const Change bad = MakeChange(6, { { "a.json", R"({"services":7})" } });
   CHECK(absl::IsInvalidArgument(Take(state, bad).status()));
   CHECK(state.CurrentEpoch() == 5);
-  CHECK(state.Judge(6, Sha256Hex(bad.root)) == Announcement::Refused);
+  CHECK(state.Classify(6, Sha256Hex(bad.root)) == EpochRelation::Refused);
   CHECK(*Take(state, MakeChange(7)));
 }
 
@@ -173,7 +173,7 @@
 struct Process : ConfigurationObserver
 {
   Process(EventLoop& aLoop,
-          const KeeperOptions& aOptions,
+          const ConfigurationOptions& aOptions,
           StoreClient* aStore,
           PeerFetch& aPeers)
     : keeper(aLoop, aOptions, aStore, aPeers, *this)
@@ -219,12 +219,12 @@
 
   void Restart(std::size_t aIndex)
   {
-    KeeperOptions options;
+    ConfigurationOptions options;
     options.instance = NameOf(aIndex);
     options.dataCentre = DataCentreName("dc1");
     options.confirmPeriod = milliseconds(10);
     options.fetchTimeout = milliseconds(8);
-    options.askAgain = milliseconds(4);
+    options.retryInterval = milliseconds(4);
     options.bootstrapDelay = milliseconds(2);
     options.tickPeriod = milliseconds(4);
     options.watchers.staleAfter = milliseconds(40);
@@ -458,8 +458,8 @@
     bool isOpen = false;
     int tries = 0;
   } peers;
-  KeeperOptions options;
-  options.askAgain = seconds(10);
+  ConfigurationOptions options;
+  options.retryInterval = seconds(10);
   Process process(*loop, options, nullptr, peers);
   const InstanceName peer("e1");
   process.keeper.OnPeerEpoch(peer, 3, "hash", std::nullopt);
@@ -485,9 +485,9 @@
     }
     std::vector<InstanceName> asked;
   } peers;
-  KeeperOptions options;
+  ConfigurationOptions options;
   options.fetchTimeout = milliseconds(20);
-  options.askAgain = seconds(10);
+  options.retryInterval = seconds(10);
   Process process(*loop, options, nullptr, peers);
   const Change change = MakeChange(3);
   const std::string hash = Sha256Hex(change.root);
--- a/test/StoreClient.cpp
+++ b/test/StoreClient.cpp
@@ -37,8 +37,8 @@
     options.timeout = milliseconds(100);
     options.callsPerSecond = 1000;
     options.callBurst = 1000;
-    options.firstBackoff = milliseconds(5);
-    options.longestBackoff = milliseconds(20);
+    options.initialBackoff = milliseconds(5);
+    options.maxBackoff = milliseconds(20);
     return options;
   }
 
