--- a/dogwoodvale/src/Backpressure/LeavingServers.cpp
+++ b/dogwoodvale/src/Backpressure/LeavingServers.cpp
@@ -11,7 +11,7 @@
 }
 
 bool
-LeavingServers::Hear(const LeavingNews& aUpdate, TimePoint aNow)
+LeavingServers::OnUpdate(const LeavingNews& aUpdate, TimePoint aNow)
 {
   if (aUpdate.age >= kTell) {
     return false;
@@ -29,9 +29,9 @@
     return false;
   }
   std::erase_if(this->announcedAt, [&](const auto& aItem) {
-    return Between(aItem.second, aNow) >= kMemory;
+    return Between(aItem.second, aNow) >= kRetention;
   });
-  if (this->announcedAt.size() >= kMost) {
+  if (this->announcedAt.size() >= kMaxServers) {
     this->announcedAt.erase(std::ranges::min_element(
       this->announcedAt, {}, [](const auto& aItem) { return aItem.second; }));
   }
@@ -40,12 +40,12 @@
 }
 
 std::vector<LeavingNews>
-LeavingServers::Tell(TimePoint aNow) const
+LeavingServers::OutgoingUpdates(TimePoint aNow) const
 {
   std::vector<LeavingNews> updates;
   for (const auto& [server, at] : this->announcedAt) {
     const Duration age = Between(at, aNow);
-    if (age < kTell && updates.size() < kMostNews) {
+    if (age < kTell && updates.size() < kMaxUpdates) {
       updates.push_back(
         { server, std::chrono::duration_cast<milliseconds>(age) });
     }
--- a/dogwoodvale/src/Backpressure/LeavingServers.h
+++ b/dogwoodvale/src/Backpressure/LeavingServers.h
@@ -33,23 +33,23 @@
   bool OnAnswer(const InstanceName& aServer, TimePoint aNow);
   /// Handles an announcement from another gateway, unless older than kTell.
   /// \return whether this was not known yet.
-  bool Hear(const LeavingNews& aUpdate, TimePoint aNow);
+  bool OnUpdate(const LeavingNews& aUpdate, TimePoint aNow);
   /// The announcements to send to other gateways: those younger than kTell, at
   /// most kMaxUpdates.
-  std::vector<LeavingNews> Tell(TimePoint aNow) const;
+  std::vector<LeavingNews> OutgoingUpdates(TimePoint aNow) const;
   bool Contains(const InstanceName& aServer) const;
 
   /// How long a leaving server is remembered. An older copy of a server list
   /// may name it again during this time.
-  static constexpr Duration kMemory = std::chrono::minutes(10);
+  static constexpr Duration kRetention = std::chrono::minutes(10);
   /// How long the announcement is sent to other gateways, so that one that
   /// starts in the meantime gets it too.
   static constexpr Duration kTell = seconds(60);
   /// Maximum number of servers remembered; the oldest announcement is evicted
   /// first.
-  static constexpr std::size_t kMost = 4096;
+  static constexpr std::size_t kMaxServers = 4096;
   /// Maximum number of updates returned by OutgoingUpdates().
-  static constexpr std::size_t kMostNews = 512;
+  static constexpr std::size_t kMaxUpdates = 512;
 
 private:
   bool Add(const InstanceName& aServer, TimePoint aAnnouncedAt, TimePoint aNow);
--- a/dogwoodvale/src/Backpressure/ServerRates.cpp
+++ b/dogwoodvale/src/Backpressure/ServerRates.cpp
@@ -70,7 +70,7 @@
 }
 
 std::optional<RateChange>
-ServerRates::Hear(const RateNews& aUpdate, TimePoint aNow)
+ServerRates::OnUpdate(const RateNews& aUpdate, TimePoint aNow)
 {
   const std::optional<double> rate = ClampRate(aUpdate.perSecond);
   const TimePoint answeredAt =
@@ -100,7 +100,7 @@
 }
 
 std::vector<RateNews>
-ServerRates::Tell(TimePoint aNow) const
+ServerRates::OutgoingUpdates(TimePoint aNow) const
 {
   std::vector<std::pair<TimePoint, RateNews>> candidates;
   for (const auto& [server, entry] : this->entries) {
@@ -199,15 +199,15 @@
   }
 }
 
-ServerRates::Room
+ServerRates::Allowance
 ServerRates::RoomOf(const InstanceName& aServer,
                     std::size_t aCells,
                     TimePoint aNow)
 {
   Entry* entry = this->FindLimited(aServer, aCells, aNow);
   return entry == nullptr
-           ? Room{}
-           : Room{ entry->bucket.Available(aNow), entry->share.burst };
+           ? Allowance{}
+           : Allowance{ entry->bucket.Available(aNow), entry->share.burst };
 }
 
 Duration
--- a/dogwoodvale/src/Backpressure/ServerRates.h
+++ b/dogwoodvale/src/Backpressure/ServerRates.h
@@ -42,7 +42,7 @@
 public:
   ServerRates(InstanceName aSelf, Duration aSettle);
 
-  RateHolders& Holders() { return this->holders; }
+  RateHolders& Allocator() { return this->holders; }
 
   /// Handles the headers of a response.
   /// \return the change of the server's limit; nothing if it is unchanged.
@@ -52,10 +52,10 @@
   /// Handles an update from another gateway.
   /// \param aUpdate about a server in this gateway's list.
   /// \return the change of the server's limit; nothing if it is unchanged.
-  std::optional<RateChange> Hear(const RateNews& aUpdate, TimePoint aNow);
+  std::optional<RateChange> OnUpdate(const RateNews& aUpdate, TimePoint aNow);
   /// The updates to send to other gateways: the servers with a limit, and those
   /// whose limit has changed or ended recently.
-  std::vector<RateNews> Tell(TimePoint aNow) const;
+  std::vector<RateNews> OutgoingUpdates(TimePoint aNow) const;
   /// Removes the server's limit.
   void Forget(const InstanceName& aServer);
 
@@ -68,15 +68,15 @@
   void OnSent(const InstanceName& aServer, std::size_t aCells, TimePoint aNow);
   /// What this gateway may send to a server with a limit, in requests; may be
   /// fractional.
-  struct Room
+  struct Allowance
   {
     /// Requests that may be sent now.
     double now = 0;
     /// Maximum that `now` can reach.
-    double most = 0;
+    double burst = 0;
   };
   /// Zero for a server without a limit.
-  Room RoomOf(const InstanceName& aServer, std::size_t aCells, TimePoint aNow);
+  Allowance RoomOf(const InstanceName& aServer, std::size_t aCells, TimePoint aNow);
   /// Time until the server accepts another request: from this gateway if it
   /// holds a share of the rate, else from any gateway.
   Duration UntilRoom(const InstanceName& aServer,
--- a/dogwoodvale/src/Backpressure/ServerRests.cpp
+++ b/dogwoodvale/src/Backpressure/ServerRests.cpp
@@ -13,7 +13,7 @@
     return false;
   }
   Backoff& backoff = this->backoffs[aServer];
-  const TimePoint endsAt = aNow + std::min(aBackoff, kLongest);
+  const TimePoint endsAt = aNow + std::min(aBackoff, kMaxBackoff);
   if (endsAt <= backoff.endsAt) {
     return false;
   }
--- a/dogwoodvale/src/Backpressure/ServerRests.h
+++ b/dogwoodvale/src/Backpressure/ServerRests.h
@@ -35,7 +35,7 @@
   std::size_t RestingCount(TimePoint aNow) const;
 
   /// Maximum back-off; a server that asks for more is probed after this time.
-  static constexpr Duration kLongest = std::chrono::minutes(10);
+  static constexpr Duration kMaxBackoff = std::chrono::minutes(10);
   /// Time after which the next probe is sent if one gets no response.
   static constexpr Duration kTrialPatience = milliseconds(250);
 
--- a/dogwoodvale/src/Duties/DutyElection.cpp
+++ b/dogwoodvale/src/Duties/DutyElection.cpp
@@ -25,7 +25,7 @@
 }
 
 void
-DutyElection::OnHeard(const InstanceName& aProcess, bool aHolds, TimePoint aNow)
+DutyElection::OnHeartbeat(const InstanceName& aProcess, bool aHolds, TimePoint aNow)
 {
   this->lastHeartbeats[aProcess] = aNow;
   if (aHolds) {
--- a/dogwoodvale/src/Duties/DutyElection.h
+++ b/dogwoodvale/src/Duties/DutyElection.h
@@ -23,7 +23,7 @@
 
   /// A heartbeat arrived from a process that is eligible for the duty.
   /// \param aHolds whether that process holds the duty.
-  void OnHeard(const InstanceName& aProcess, bool aHolds, TimePoint aNow);
+  void OnHeartbeat(const InstanceName& aProcess, bool aHolds, TimePoint aNow);
   /// This process does not try to acquire the duty before \p aUntil.
   void BackOffUntil(TimePoint aUntil) { this->backOffUntil = aUntil; }
   /// Whether to try to acquire the duty now. Call a few times a second.
--- a/dogwoodvale/src/Duties/TimeAgreement.cpp
+++ b/dogwoodvale/src/Duties/TimeAgreement.cpp
@@ -17,7 +17,7 @@
 } // namespace
 
 void
-TimeAgreement::OnHeard(const InstanceName& aProcess,
+TimeAgreement::OnClockSample(const InstanceName& aProcess,
                        milliseconds aTimeOfDay,
                        TimePoint aNow)
 {
--- a/dogwoodvale/src/Duties/TimeAgreement.h
+++ b/dogwoodvale/src/Duties/TimeAgreement.h
@@ -16,7 +16,7 @@
 {
 public:
   /// Another process reported \p aTimeOfDay as its clock's time since 1970.
-  void OnHeard(const InstanceName& aProcess,
+  void OnClockSample(const InstanceName& aProcess,
                milliseconds aTimeOfDay,
                TimePoint aNow);
   /// \return the median time since 1970; of an even number of clocks the lower
--- a/dogwoodvale/src/Duties/UsageLedger.cpp
+++ b/dogwoodvale/src/Duties/UsageLedger.cpp
@@ -21,7 +21,7 @@
 }
 
 std::vector<UsageNews>
-UsageLedger::Tell()
+UsageLedger::OutgoingUpdates()
 {
   std::vector<UsageNews> news;
   const auto own = this->sources.find(this->self);
@@ -64,7 +64,7 @@
 }
 
 void
-UsageLedger::Hear(const UsageSource& aSource, std::span<const UsageNews> aNews)
+UsageLedger::OnUpdate(const UsageSource& aSource, std::span<const UsageNews> aNews)
 {
   // Other processes' copies of this process's counts are never newer than its
   // own.
@@ -78,7 +78,7 @@
 }
 
 bool
-UsageLedger::IsWhole(WindowId aWindow) const
+UsageLedger::IsComplete(WindowId aWindow) const
 {
   return std::ranges::all_of(this->sources, [aWindow](const auto& aItem) {
     const auto found = aItem.second.find(aWindow);
--- a/dogwoodvale/src/Duties/UsageLedger.h
+++ b/dogwoodvale/src/Duties/UsageLedger.h
@@ -44,12 +44,12 @@
   void Count(WindowId aWindow, const CustomerName& aCustomer);
   /// This process's counts to send to the others: for each window held, the
   /// total and the recently changed counts.
-  std::vector<UsageNews> Tell();
+  std::vector<UsageNews> OutgoingUpdates();
   /// Merges the updates of another source; this process's own are ignored.
-  void Hear(const UsageSource& aSource, std::span<const UsageNews> aNews);
+  void OnUpdate(const UsageSource& aSource, std::span<const UsageNews> aNews);
 
   /// Whether, for each source, the received counts add up to its total.
-  bool IsWhole(WindowId aWindow) const;
+  bool IsComplete(WindowId aWindow) const;
   /// The received counts, summed over all sources.
   UsageCounts CountsOf(WindowId aWindow) const;
   /// All counts, to synchronise a process that missed updates.
--- a/dogwoodvale/src/Duties/UsageReporter.cpp
+++ b/dogwoodvale/src/Duties/UsageReporter.cpp
@@ -35,11 +35,11 @@
 }
 
 void
-UsageReporter::OnHeard(const InstanceName& aProcess,
+UsageReporter::OnHeartbeat(const InstanceName& aProcess,
                        bool aHolds,
                        TimePoint aNow)
 {
-  this->election.OnHeard(aProcess, aHolds, aNow);
+  this->election.OnHeartbeat(aProcess, aHolds, aNow);
 }
 
 std::optional<InstanceName>
@@ -49,7 +49,7 @@
 }
 
 void
-UsageReporter::Tend(TimePoint aNow,
+UsageReporter::RunMaintenance(TimePoint aNow,
                     milliseconds aAgreedTime,
                     bool aMayAcquire,
                     const UsageView& aView)
--- a/dogwoodvale/src/Duties/UsageReporter.h
+++ b/dogwoodvale/src/Duties/UsageReporter.h
@@ -30,11 +30,11 @@
                 Options aOptions);
 
   /// A heartbeat arrived from another process that is eligible for the duty.
-  void OnHeard(const InstanceName& aProcess, bool aHolds, TimePoint aNow);
+  void OnHeartbeat(const InstanceName& aProcess, bool aHolds, TimePoint aNow);
   /// Call a few times a second.
   /// \param aAgreedTime agreed time since 1970, see TimeAgreement.
   /// \param aMayAcquire whether this process is eligible for the duty.
-  void Tend(TimePoint aNow,
+  void RunMaintenance(TimePoint aNow,
             milliseconds aAgreedTime,
             bool aMayAcquire,
             const UsageView& aView);
--- a/dogwoodvale/src/Entry/Entry.cpp
+++ b/dogwoodvale/src/Entry/Entry.cpp
@@ -69,7 +69,7 @@
     return plane.status();
   }
   this->control = *std::move(plane);
-  this->sync->SetKeeper(this->control->Keeper());
+  this->sync->SetKeeper(this->control->Manager());
   this->claims =
     std::make_unique<ClaimStore>(this->loop, this->control->Store());
   if (!this->settings.configurationFile.empty()) {
@@ -115,7 +115,7 @@
 const Configuration*
 Entry::Active() const
 {
-  const AcceptedConfiguration* accepted = this->control->Keeper().Current();
+  const AcceptedConfiguration* accepted = this->control->Manager().Current();
   if (accepted != nullptr) {
     return &accepted->configuration;
   }
@@ -125,7 +125,7 @@
 Epoch
 Entry::CurrentEpoch() const
 {
-  return this->control->Keeper().CurrentEpoch();
+  return this->control->Manager().CurrentEpoch();
 }
 
 void
@@ -159,7 +159,7 @@
   const Duration period = std::max(
     kLeastTellPeriod,
     Duration(milliseconds(IdlePeriodMillis(this->fleet->LinkCount()))));
-  this->control->Keeper().SetContactPeriod(period);
+  this->control->Manager().SetContactPeriod(period);
   const TimePoint now = Now();
   const bool due = now - this->lastTold >= period;
   if (due) {
@@ -173,11 +173,11 @@
 {
   Notice notice;
   notice.epoch = this->CurrentEpoch();
-  notice.rootHash = this->control->Keeper().CurrentHash();
+  notice.rootHash = this->control->Manager().CurrentHash();
   notice.storeContactAgeMillis = this->control->ContactAgeMillis();
   notice.idlePeriodMillis = IdlePeriodMillis(this->fleet->LinkCount());
   this->fleet->SetNotice(notice, aNow);
-  this->claims->SetCollecting(this->control->Keeper().IsWatching());
+  this->claims->SetCollecting(this->control->Manager().IsWatching());
 }
 
 Hello
@@ -192,7 +192,7 @@
   hello.incarnation = this->incarnation;
   if (this->control) {
     hello.epoch = this->CurrentEpoch();
-    hello.rootHash = this->control->Keeper().CurrentHash();
+    hello.rootHash = this->control->Manager().CurrentHash();
   }
   return hello;
 }
@@ -310,7 +310,7 @@
                    std::string_view aRootHash,
                    std::optional<Duration> aStoreContactAge)
 {
-  this->control->Keeper().OnPeerEpoch(
+  this->control->Manager().OnPeerEpoch(
     aPeer, aEpoch, aRootHash, aStoreContactAge);
   if (aEpoch < this->CurrentEpoch()) {
     this->sync->Offer(aPeer);
@@ -320,7 +320,7 @@
 void
 Entry::OnPeerLost(const InstanceName& aPeer)
 {
-  this->control->Keeper().OnPeerLost(aPeer);
+  this->control->Manager().OnPeerLost(aPeer);
 }
 
 void
@@ -394,9 +394,9 @@
   status["region"] = this->settings.region.Value();
   status["version"] = DOGWOODVALE_VERSION;
   status["incarnation"] = fmt::format("{:016x}", this->incarnation);
-  const AcceptedConfiguration* accepted = this->control->Keeper().Current();
+  const AcceptedConfiguration* accepted = this->control->Manager().Current();
   status["epoch"] = Json::UInt64(this->CurrentEpoch());
-  status["root_hash"] = this->control->Keeper().CurrentHash();
+  status["root_hash"] = this->control->Manager().CurrentHash();
   status["change_id"] = accepted == nullptr ? "" : accepted->root.changeId;
   status["store"] = this->control->Describe();
   status["ready"] = this->Ready().ok();
@@ -413,7 +413,7 @@
 Entry::Other(const HttpRequest& aRequest)
 {
   if (aRequest.method == "GET" && aRequest.path == "/configuration") {
-    return { kHttpOk, "application/json", this->control->Keeper().Export() };
+    return { kHttpOk, "application/json", this->control->Manager().Export() };
   }
   if (aRequest.method == "POST" && aRequest.path == "/drain") {
     this->BeginStop();
--- a/dogwoodvale/src/Entry/Fleet.cpp
+++ b/dogwoodvale/src/Entry/Fleet.cpp
@@ -196,8 +196,8 @@
   ServiceState& state = this->StateOf(aService);
   for (const HealthChange& change :
        state.health.Evaluate(aNow, state.table.MeanLoad())) {
-    state.table.SetStanding(change.name, change.standing);
-    Log(change.standing == Standing::Ejected ? LogLevel::Warning
+    state.table.SetStanding(change.name, change.healthState);
+    Log(change.healthState == Standing::Ejected ? LogLevel::Warning
                                              : LogLevel::Info,
         "backend_standing",
         "server",
@@ -368,7 +368,7 @@
       Json::Value server;
       server["instance"] = backend.name.Value();
       server["available"] = backend.available;
-      server["ejected"] = backend.standing == Standing::Ejected;
+      server["ejected"] = backend.healthState == Standing::Ejected;
       server["in_flight"] = backend.inFlight;
       server["running"] = backend.report.running;
       server["queued"] = backend.report.queued;
--- a/dogwoodvale/src/Gateway/BackendPool.cpp
+++ b/dogwoodvale/src/Gateway/BackendPool.cpp
@@ -47,7 +47,7 @@
   std::uint64_t best = 0;
   for (DirectCandidate& candidate : aCandidates) {
     if (!prefix || candidate.isReserved != aDemand.isInteractive ||
-        candidate.standing != Standing::InService) {
+        candidate.healthState != Standing::InService) {
       continue;
     }
     const std::uint64_t score = HomeScore(*prefix, candidate.name);
@@ -168,7 +168,7 @@
 }
 
 void
-BackendPool::Tend(TimePoint aNow)
+BackendPool::RunMaintenance(TimePoint aNow)
 {
   for (const InstanceName& gateway : this->work.Expire(aNow)) {
     Log(LogLevel::Warning, "gateway_silent", "gateway", gateway.Value());
@@ -327,14 +327,14 @@
       })) {
     return true;
   }
-  ServerRates::Room sum;
+  ServerRates::Allowance sum;
   for (const DirectCandidate& candidate : aCandidates) {
-    const ServerRates::Room room = rates.RoomOf(
+    const ServerRates::Allowance room = rates.RoomOf(
       candidate.name, this->CellsOf(this->members.at(candidate.name)), aNow);
     sum.now += room.now;
-    sum.most += room.most;
+    sum.burst += room.burst;
   }
-  return this->reserves[aService].Admits(aRank, sum.now, sum.most, aNow);
+  return this->reserves[aService].Admits(aRank, sum.now, sum.burst, aNow);
 }
 
 bool
@@ -376,7 +376,7 @@
     if (!this->TakesWork(member)) {
       continue;
     }
-    const Standing standing = tracker->second.StandingOf(name);
+    const Standing standing = tracker->second.HealthStateOf(name);
     const bool isReserved = reservedLeft > 0 && standing == Standing::InService;
     reservedLeft -= isReserved ? 1 : 0;
     if (std::ranges::find(aExcluded, name) != aExcluded.end() ||
@@ -391,11 +391,11 @@
     candidate.work = this->work.Total(name);
     candidate.slots = slots;
     candidate.cacheTokens = aService.cacheTokens;
-    candidate.standing = standing;
+    candidate.healthState = standing;
     candidate.isReserved = isReserved;
     candidate.cachedTokens = this->caches.TokensHeld(name, aDemand.steps);
     if (flow != this->flows.end()) {
-      candidate.recentLongTokens = flow->second.Recent(name, aNow);
+      candidate.recentLongTokens = flow->second.RecentLongTokens(name, aNow);
     }
     found.push_back(std::move(candidate));
   }
@@ -412,7 +412,7 @@
 {
   const auto found = this->members.find(aInstance);
   if (found != this->members.end()) {
-    this->flows[found->second.instance.service].OnLong(
+    this->flows[found->second.instance.service].OnLongPrompt(
       aInstance, aTokens, aNow);
   }
 }
@@ -539,7 +539,7 @@
                     std::span<const PromptStep> aSteps)
 {
   this->work.AddOwn(aInstance, aWork);
-  this->OnRead(aInstance, aSteps);
+  this->OnPrefill(aInstance, aSteps);
 }
 
 void
@@ -552,7 +552,7 @@
 }
 
 void
-BackendPool::OnRead(const InstanceName& aInstance,
+BackendPool::OnPrefill(const InstanceName& aInstance,
                     std::span<const PromptStep> aSteps)
 {
   // Other gateways may report servers that this gateway doesn't have; their
@@ -572,11 +572,11 @@
 }
 
 std::vector<ServiceLearning>
-BackendPool::Learned() const
+BackendPool::Estimates() const
 {
   std::vector<ServiceLearning> estimates;
   for (const auto& [service, flow] : this->flows) {
-    ServiceLearning one{ service, flow.Learned() };
+    ServiceLearning one{ service, flow.Estimates() };
     const auto servers = this->reserved.find(service);
     if (servers != this->reserved.end()) {
       one.interactivePeak = servers->second.Peak();
@@ -635,10 +635,10 @@
 }
 
 void
-BackendPool::Hear(const PeerDigest& aDigest, TimePoint aNow)
+BackendPool::ApplyDigest(const PeerDigest& aDigest, TimePoint aNow)
 {
   this->work.SetPeer(aDigest.gateway, aDigest.work, aNow);
-  this->needs.Hear(
+  this->needs.ApplyDigest(
     aDigest,
     [this](const InstanceName& aName) { return this->MayUse(aName); },
     aNow);
--- a/dogwoodvale/src/Gateway/BackendPool.h
+++ b/dogwoodvale/src/Gateway/BackendPool.h
@@ -50,7 +50,7 @@
                    std::size_t aCell);
   /// Evaluates health, updates the reserved servers and removes servers that
   /// are no longer listed or used; call a few times a second.
-  void Tend(TimePoint aNow);
+  void RunMaintenance(TimePoint aNow);
   /// To be called when pooled connections may all be dead, e.g. after the
   /// process was suspended.
   void CloseIdleConnections();
@@ -65,7 +65,7 @@
   void SetServices(std::span<const DirectService> aServices);
   /// The prompt, sent by this gateway or another, enters the cache of the
   /// instance. No-op for an instance that the pool does not have.
-  void OnRead(const InstanceName& aInstance,
+  void OnPrefill(const InstanceName& aInstance,
               std::span<const PromptStep> aSteps);
   /// A long prompt was sent to the instance, by this gateway or another.
   void OnLongPrompt(const InstanceName& aInstance,
@@ -106,7 +106,7 @@
   Occupancy OccupancyOf(const ServiceName& aService) const;
 
   /// The estimates of all services, for the warm start of a gateway.
-  std::vector<ServiceLearning> Learned() const;
+  std::vector<ServiceLearning> Estimates() const;
   /// Takes over estimates of another gateway, or of this one before its
   /// restart; values measured here are kept.
   void Seed(std::span<const ServiceLearning> aEstimates, TimePoint aNow);
@@ -128,7 +128,7 @@
                 const BackpressureNotice& aNotice,
                 TimePoint aNow);
   /// Takes in what another gateway reports about the servers.
-  void Hear(const PeerDigest& aDigest, TimePoint aNow);
+  void ApplyDigest(const PeerDigest& aDigest, TimePoint aNow);
   /// Another instance answers at the instance's address: no more work is sent
   /// to it.
   void OnWrongInstance(const InstanceName& aInstance);
--- a/dogwoodvale/src/Gateway/CrashGuard.cpp
+++ b/dogwoodvale/src/Gateway/CrashGuard.cpp
@@ -34,13 +34,13 @@
 CrashGuard::IsQuarantined(RequestFingerprint aRequest) const
 {
   return this->options.isOn &&
-         this->ledger.StandingOf(aRequest, Now()) == CrashStanding::Quarantined;
+         this->ledger.StatusOf(aRequest, Now()) == CrashStanding::Quarantined;
 }
 
 bool
 CrashGuard::IsSuspect(RequestFingerprint aRequest) const
 {
-  return this->ledger.StandingOf(aRequest, Now()) == CrashStanding::Suspect;
+  return this->ledger.StatusOf(aRequest, Now()) == CrashStanding::Suspect;
 }
 
 Duration
@@ -59,7 +59,7 @@
   if (aIsNew && this->broken.HasJustBroken(aRequest, now)) {
     return true;
   }
-  return this->ledger.StandingOf(aRequest, now) == CrashStanding::Suspect &&
+  return this->ledger.StatusOf(aRequest, now) == CrashStanding::Suspect &&
          (this->copies.HasAny(aRequest, now) ||
           this->ledger.IsUndecided(aRequest, now));
 }
@@ -81,7 +81,7 @@
 {
   const TimePoint now = Now();
   if (this->ledger.OnAnswered(aRequest, now)) {
-    this->keeper.Keep(this->LogVerdict(aRequest, "answer", now));
+    this->keeper.Persist(this->LogVerdict(aRequest, "answer", now));
   }
 }
 
@@ -132,7 +132,7 @@
 void
 CrashGuard::OnInstances()
 {
-  for (const InstanceName& instance : this->broken.Open()) {
+  for (const InstanceName& instance : this->broken.UnresolvedServers()) {
     if (!this->pool.IsListed(instance)) {
       this->OnCrashed(instance, "removed");
     }
@@ -142,7 +142,7 @@
 void
 CrashGuard::OnCrashed(const InstanceName& aInstance, const char* aHow)
 {
-  const std::vector<CrashEvidence> runs = this->broken.OnEnded(aInstance);
+  const std::vector<CrashEvidence> runs = this->broken.OnServerExited(aInstance);
   if (runs.empty()) {
     return;
   }
@@ -186,21 +186,21 @@
 void
 CrashGuard::EvaluateEvidence(TimePoint aNow)
 {
-  for (const RequestFingerprint request : this->ledger.Judge(aNow)) {
-    this->keeper.Keep(this->LogVerdict(request, "evidence", aNow));
+  for (const RequestFingerprint request : this->ledger.Evaluate(aNow)) {
+    this->keeper.Persist(this->LogVerdict(request, "evidence", aNow));
   }
 }
 
 // Other gateways.
 
 void
-CrashGuard::Tell(PeerDigest& aDigest) const
+CrashGuard::AddToDigest(PeerDigest& aDigest) const
 {
   if (!this->options.isOn) {
     return;
   }
   const TimePoint now = Now();
-  aDigest.crashes = this->ledger.News(now);
+  aDigest.crashes = this->ledger.OutgoingUpdate(now);
   for (const RequestFingerprint request : this->ledger.Suspects()) {
     // A request that has just been aborted counts as in flight until the
     // verdict on its server can be sent: meanwhile other gateways would send
@@ -208,14 +208,14 @@
     const bool isInFlight =
       this->copies.HasOwn(request) || this->broken.HasJustBroken(request, now);
     if (isInFlight &&
-        aDigest.suspectsUnderWay.size() < CrashLedger::kMostNews) {
+        aDigest.suspectsUnderWay.size() < CrashLedger::kMaxUpdateEntries) {
       aDigest.suspectsUnderWay.push_back(request);
     }
   }
 }
 
 void
-CrashGuard::Hear(const PeerDigest& aDigest)
+CrashGuard::ApplyDigest(const PeerDigest& aDigest)
 {
   if (!this->options.isOn) {
     return;
@@ -230,9 +230,9 @@
   if (aDigest.crashes.evidence.empty()) {
     return;
   }
-  const std::vector<InstanceName> open = this->broken.Open();
+  const std::vector<InstanceName> open = this->broken.UnresolvedServers();
   for (const CrashEvidence& evidence : aDigest.crashes.evidence) {
-    this->ledger.Take(evidence, CrashLedger::Source::Told, now);
+    this->ledger.Take(evidence, CrashLedger::Source::Peer, now);
     // Another gateway has detected that the server crashed.
     const auto known = std::ranges::find(open, evidence.server, ServerKeyOf);
     if (known != open.end()) {
@@ -251,14 +251,14 @@
 }
 
 void
-CrashGuard::Tend()
+CrashGuard::RunMaintenance()
 {
   const TimePoint now = Now();
   this->broken.Expire(now);
   this->copies.Expire(now);
   this->EvaluateEvidence(now);
   this->ledger.Expire(now);
-  this->keeper.Tend();
+  this->keeper.RunMaintenance();
 }
 
 } // namespace dogwoodvale
--- a/dogwoodvale/src/Gateway/CrashGuard.h
+++ b/dogwoodvale/src/Gateway/CrashGuard.h
@@ -64,10 +64,10 @@
   void OnInstances();
 
   /// Adds this gateway's evidence, verdicts and suspects in flight.
-  void Tell(PeerDigest& aDigest) const;
-  void Hear(const PeerDigest& aDigest);
+  void AddToDigest(PeerDigest& aDigest) const;
+  void ApplyDigest(const PeerDigest& aDigest);
   /// Evaluates the evidence and expires old state. Call a few times a second.
-  void Tend();
+  void RunMaintenance();
 
   const CrashLedger& Ledger() const { return this->ledger; }
   std::uint64_t ServersEnded() const { return this->crashedCount; }
--- a/dogwoodvale/src/Gateway/Departures.cpp
+++ b/dogwoodvale/src/Gateway/Departures.cpp
@@ -20,7 +20,7 @@
     const bool isBack = found != aAfter.end() && !found->second.leaving;
     return isBack || Between(aItem.second, aNow) > kMemory;
   });
-  while (this->departedAt.size() > kMost) {
+  while (this->departedAt.size() > kMaxRemembered) {
     this->departedAt.erase(std::ranges::min_element(
       this->departedAt, {}, &std::pair<const InstanceName, TimePoint>::second));
   }
--- a/dogwoodvale/src/Gateway/Departures.h
+++ b/dogwoodvale/src/Gateway/Departures.h
@@ -33,7 +33,7 @@
   /// Greatest supported age of a copy of the store.
   static constexpr Duration kMemory = seconds(120);
   /// Most servers that are remembered; the earliest are evicted first.
-  static constexpr std::size_t kMost = 10'000;
+  static constexpr std::size_t kMaxRemembered = 10'000;
 
 private:
   /// When each server left.
--- a/dogwoodvale/src/Gateway/DirectoryKeeper.cpp
+++ b/dogwoodvale/src/Gateway/DirectoryKeeper.cpp
@@ -107,14 +107,14 @@
 {
   const TimePoint readAt = aNow - aList.age;
   const bool isComparable =
-    this->options.sharesReads && aList.sum != 0 && this->listChecksum != 0;
+    this->options.sharesReads && aList.checksum != 0 && this->listChecksum != 0;
   // Entries that are kept beyond the store's list are dropped only by an own
   // read, so it must not be postponed.
   const bool keepsExtraEntries = this->mergedAt < this->GraceEnd();
   if (!isComparable || keepsExtraEntries || readAt <= this->instancesReadAt) {
     return;
   }
-  if (aList.sum == this->listChecksum) {
+  if (aList.checksum == this->listChecksum) {
     this->instancesReadAt = readAt;
     this->behindSince.reset();
     return;
--- a/dogwoodvale/src/Gateway/Gateway.cpp
+++ b/dogwoodvale/src/Gateway/Gateway.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr Duration kMaintenancePeriod = CrashLedger::kJudgePeriod;
+constexpr Duration kMaintenancePeriod = CrashLedger::kEvaluationPeriod;
 constexpr Duration kStopCheckPeriod = milliseconds(20);
 /// Reads of the list of backend servers within the time (instanceDrain) after
 /// which a leaving server must get no more work: if one read fails, the next is
@@ -336,10 +336,10 @@
   digest.work = this->pool.Work().OwnLines();
   digest.routed = std::move(this->routed);
   this->routed.clear();
-  this->crashes.Tell(digest);
-  this->pool.Needs().Tell(digest, Now());
+  this->crashes.AddToDigest(digest);
+  this->pool.Needs().AddToDigest(digest, Now());
   digest.list = this->directory->List(Now());
-  this->usage.Tell(digest);
+  this->usage.AddToDigest(digest);
   return digest;
 }
 
@@ -354,17 +354,17 @@
   sequence = aDigest.sequence;
   const TimePoint now = Now();
   this->directory->NoteOthersContact(aDigest.storeContact, now);
-  this->pool.Hear(aDigest, now);
-  this->crashes.Hear(aDigest);
+  this->pool.ApplyDigest(aDigest, now);
+  this->crashes.ApplyDigest(aDigest);
   this->directory->NoteOthersList(aDigest.list, now);
   // Gateways of other cells send a digest only occasionally; usage reporting
   // and the warm start work within a cell.
   if (CellOf(aDigest.gateway, this->cells) == this->ownCell) {
-    this->usage.Hear(aDigest);
+    this->usage.ApplyDigest(aDigest);
     this->warmStart->OnHeard(aDigest.gateway, now);
   }
   for (const RoutedPrompt& prompt : aDigest.routed) {
-    this->pool.OnRead(prompt.instance, prompt.steps);
+    this->pool.OnPrefill(prompt.instance, prompt.steps);
     if (prompt.longTokens > 0) {
       this->pool.OnLongPrompt(prompt.instance, prompt.longTokens, now);
     }
@@ -380,12 +380,12 @@
 {
   if (aPath == PeerExchange::kRoutesPath) {
     const bool isTaken =
-      this->directory->Routes().Take(aDocument, aFrom.ToString());
+      this->directory->Routes().Apply(aDocument, aFrom.ToString());
     this->catchUp.OnAnswer(aFrom, isTaken, Now());
   } else if (aPath == PeerExchange::kInstancesPath) {
     this->directory->TakeInstances(aDocument, aFrom.ToString());
   } else if (aPath == WarmStart::kPath) {
-    this->warmStart->Take(aDocument, aFrom.ToString());
+    this->warmStart->Apply(aDocument, aFrom.ToString());
   } else if (aPath.starts_with(UsageDuty::kPath)) {
     this->usage.TakeDocument(aPath, aDocument, aFrom);
   }
@@ -440,12 +440,12 @@
 Gateway::RunMaintenance()
 {
   const TimePoint now = Now();
-  this->pool.Tend(now);
-  this->crashes.Tend();
+  this->pool.RunMaintenance(now);
+  this->crashes.RunMaintenance();
   this->FetchOutdatedFromPeers(now);
   if (!this->stopping) {
-    this->usage.Tend(*this->peers, this->random);
-    this->warmStart->Tend(now, this->ownCell == 0);
+    this->usage.RunMaintenance(*this->peers, this->random);
+    this->warmStart->RunMaintenance(now, this->ownCell == 0);
   }
   FlushLog();
 }
--- a/dogwoodvale/src/Gateway/GatewayLog.cpp
+++ b/dogwoodvale/src/Gateway/GatewayLog.cpp
@@ -89,7 +89,7 @@
       "interactive",
       admitted.demand.isInteractive,
       "place",
-      placement.place,
+      placement.priority,
       "timeliness",
       TimelinessName(placement.timeliness),
       "expected_ms",
--- a/dogwoodvale/src/Gateway/GatewayRequest.cpp
+++ b/dogwoodvale/src/Gateway/GatewayRequest.cpp
@@ -149,7 +149,7 @@
   metadata.server = pool.ServerOf(aInstance);
   metadata.customer = this->admitted.customer;
   metadata.timeLeft = this->TimeLeft(aNow);
-  metadata.place = this->outcome.placement.place;
+  metadata.priority = this->outcome.placement.priority;
   metadata.resumeAfter = this->lastDeliveredEvent;
   if (this->outcome.placement.fetch) {
     metadata.fetchFrom =
--- a/dogwoodvale/src/Gateway/GatewayRoster.cpp
+++ b/dogwoodvale/src/Gateway/GatewayRoster.cpp
@@ -32,7 +32,7 @@
     return;
   }
   const TimePoint now = Now();
-  const bool isStarting = Between(this->startedAt, now) < kStartTakes;
+  const bool isStarting = Between(this->startedAt, now) < kStartDuration;
   this->timer.StartOnce(isStarting ? kPeriodAtStart : kPeriod);
   if (this->leaseCall == nullptr) {
     // A lease of an earlier era of the store no longer exists, and its id may
@@ -146,7 +146,7 @@
 GatewayRoster::Announce(TimePoint aNow)
 {
   std::vector<GatewayMember> now = this->read;
-  if (Between(this->startedAt, aNow) < kStartTakes) {
+  if (Between(this->startedAt, aNow) < kStartDuration) {
     for (const GatewayMember& hint : this->hints) {
       if (std::ranges::find(now, hint.name, &GatewayMember::name) ==
           now.end()) {
--- a/dogwoodvale/src/Gateway/GatewayRoster.h
+++ b/dogwoodvale/src/Gateway/GatewayRoster.h
@@ -49,7 +49,7 @@
   static constexpr Duration kPeriod = seconds(2);
   /// The same during the first kStartDuration, when other gateways may join.
   static constexpr Duration kPeriodAtStart = milliseconds(400);
-  static constexpr Duration kStartTakes = seconds(4);
+  static constexpr Duration kStartDuration = seconds(4);
   static constexpr std::string_view kPrefix = "dogwoodvale/gateways/";
 
 private:
--- a/dogwoodvale/src/Gateway/PeerDigest.cpp
+++ b/dogwoodvale/src/Gateway/PeerDigest.cpp
@@ -251,7 +251,7 @@
 {
   aPacked.timeOfDayMillis = aWord.timeOfDay.count();
   aPacked.trueTimeMillis = aWord.trueTime.count();
-  aPacked.isUsageReporter = aWord.holdsDuty;
+  aPacked.isUsageReporter = aWord.isReporter;
   for (const UsageNews& news : aWord.counts) {
     PackedNews packed{ news.window, news.total, {} };
     for (const auto& [customer, count] : news.counts) {
@@ -267,7 +267,7 @@
   UsageWord word;
   word.timeOfDay = milliseconds(aPacked.timeOfDayMillis);
   word.trueTime = milliseconds(aPacked.trueTimeMillis);
-  word.holdsDuty = aPacked.isUsageReporter;
+  word.isReporter = aPacked.isUsageReporter;
   for (const PackedNews& packed : aPacked.usage) {
     UsageNews news{ packed.window, packed.total, {} };
     for (const auto& [customer, count] : packed.counts) {
@@ -338,7 +338,7 @@
   for (const LeavingNews& news : aDigest.leaving) {
     toPack.leaving.push_back({ news.server.Value(), news.age.count() });
   }
-  toPack.listSum = aDigest.list.sum;
+  toPack.listSum = aDigest.list.checksum;
   toPack.listAgeMillis = aDigest.list.age.count();
   msgpack::sbuffer buffer;
   msgpack::pack(buffer, toPack);
--- a/dogwoodvale/src/Gateway/PeerDigest.h
+++ b/dogwoodvale/src/Gateway/PeerDigest.h
@@ -27,7 +27,7 @@
 struct ListStamp
 {
   /// Checksum: equal for equal lists; 0 if there is no list.
-  std::uint64_t sum = 0;
+  std::uint64_t checksum = 0;
   /// Time since the store was known to have exactly this list.
   milliseconds age{ 0 };
 };
@@ -40,7 +40,7 @@
   /// Since 1970 by the time on which the gateways agree.
   milliseconds trueTime{ 0 };
   /// Whether the sender is the one that reports usage.
-  bool holdsDuty = false;
+  bool isReporter = false;
   std::vector<UsageNews> counts;
 };
 
--- a/dogwoodvale/src/Gateway/Ports.h
+++ b/dogwoodvale/src/Gateway/Ports.h
@@ -105,7 +105,7 @@
   CustomerName customer;
   Duration timeLeft{ 0 };
   /// Priority in the server's queue; 0 is served first.
-  std::uint32_t place = 0;
+  std::uint32_t priority = 0;
   /// A server whose cache holds a prefix of the prompt; the addressed server
   /// copies what it lacks from there and prefills the rest.
   std::optional<SocketAddress> fetchFrom;
--- a/dogwoodvale/src/Gateway/QuarantineKeeper.cpp
+++ b/dogwoodvale/src/Gateway/QuarantineKeeper.cpp
@@ -62,7 +62,7 @@
 QuarantineKeeper::Start()
 {
   this->Read(true);
-  this->readTimer.StartOnce(kReadAgain);
+  this->readTimer.StartOnce(kRereadDelay);
 }
 
 void
@@ -78,7 +78,7 @@
       if (aResult.ok()) {
         this->OnRead(*aResult);
       } else if (!aAllowStale) {
-        this->readTimer.StartOnce(kReadAgain);
+        this->readTimer.StartOnce(kRereadDelay);
       }
     });
 }
@@ -105,7 +105,7 @@
 }
 
 void
-QuarantineKeeper::Keep(const QuarantineVerdict& aVerdict)
+QuarantineKeeper::Persist(const QuarantineVerdict& aVerdict)
 {
   if (this->pending.size() >= kMostWaiting) {
     return;
@@ -115,7 +115,7 @@
 }
 
 void
-QuarantineKeeper::Tend()
+QuarantineKeeper::RunMaintenance()
 {
   const TimePoint now = Now();
   std::erase_if(this->stored,
@@ -127,7 +127,7 @@
   for (const auto& [request, one] : this->stored) {
     QuarantineVerdict verdict = one.verdict;
     verdict.left = verdict.isLifted ? verdict.left : Between(now, one.until);
-    this->Keep(verdict);
+    this->Persist(verdict);
   }
 }
 
--- a/dogwoodvale/src/Gateway/QuarantineKeeper.h
+++ b/dogwoodvale/src/Gateway/QuarantineKeeper.h
@@ -30,15 +30,15 @@
   /// Stores a verdict, in place of an earlier one of the same request. Retried
   /// every kRetryPeriod until the store has applied it. Dropped if kMostWaiting
   /// others are pending.
-  void Keep(const QuarantineVerdict& aVerdict);
+  void Persist(const QuarantineVerdict& aVerdict);
   /// Writes the verdicts in force again if the store was restored from an older
   /// copy. Call a few times a second.
-  void Tend();
+  void RunMaintenance();
 
   static constexpr std::string_view kPrefix = "dogwoodvale/quarantine/";
   /// Longest lease that the store grants.
   static constexpr Duration kLongestLease = seconds(600);
-  static constexpr Duration kReadAgain = seconds(2);
+  static constexpr Duration kRereadDelay = seconds(2);
   static constexpr Duration kRetryPeriod = seconds(1);
   /// Most pending writes; further verdicts are dropped, as the other gateways
   /// have them too.
--- a/dogwoodvale/src/Gateway/RoutesCatchUp.cpp
+++ b/dogwoodvale/src/Gateway/RoutesCatchUp.cpp
@@ -43,7 +43,7 @@
 bool
 RoutesCatchUp::IsValid(const Peer& aPeer, TimePoint aNow) const
 {
-  return Between(aPeer.heardAt, aNow) <= kWordLife;
+  return Between(aPeer.heardAt, aNow) <= kVersionTtl;
 }
 
 Epoch
--- a/dogwoodvale/src/Gateway/RoutesCatchUp.h
+++ b/dogwoodvale/src/Gateway/RoutesCatchUp.h
@@ -51,7 +51,7 @@
   /// Back-off for a gateway whose answer brought nothing new.
   static constexpr Duration kAvoidFor = seconds(1);
   /// How long a reported version is valid after the gateway's last digest.
-  static constexpr Duration kWordLife = seconds(3);
+  static constexpr Duration kVersionTtl = seconds(3);
 
 private:
   struct Peer
--- a/dogwoodvale/src/Gateway/RoutesKeeper.cpp
+++ b/dogwoodvale/src/Gateway/RoutesKeeper.cpp
@@ -31,7 +31,7 @@
 {
   this->OnContact();
   for (const KeyValue& value : aValues) {
-    this->Take(value.value, "store");
+    this->Apply(value.value, "store");
   }
 }
 
@@ -42,7 +42,7 @@
   this->OnContact();
   for (const StoreChange& change : aChanges) {
     if (change.kind == StoreChange::Kind::Put) {
-      this->Take(change.value.value, "store");
+      this->Apply(change.value.value, "store");
     }
   }
 }
@@ -70,7 +70,7 @@
 }
 
 bool
-RoutesKeeper::Take(std::string_view aDocument, std::string_view aFrom)
+RoutesKeeper::Apply(std::string_view aDocument, std::string_view aFrom)
 {
   this->bytesRead += aDocument.size();
   if (aDocument == this->document) {
--- a/dogwoodvale/src/Gateway/RoutesKeeper.h
+++ b/dogwoodvale/src/Gateway/RoutesKeeper.h
@@ -29,7 +29,7 @@
   /// Applies a document of routes if it is valid and of a higher version.
   /// \param aFrom "store", or the gateway that sent its copy; for the log.
   /// \return whether it was applied.
-  bool Take(std::string_view aDocument, std::string_view aFrom);
+  bool Apply(std::string_view aDocument, std::string_view aFrom);
 
   /// Version of the routes in force; 0 before the first.
   Epoch Version() const { return this->table ? this->table->Version() : 0; }
--- a/dogwoodvale/src/Gateway/ServerNeeds.cpp
+++ b/dogwoodvale/src/Gateway/ServerNeeds.cpp
@@ -72,13 +72,13 @@
 void
 ServerNeeds::SetGateways(std::span<const InstanceName> aNames, TimePoint aNow)
 {
-  this->rates.Holders().SetGateways(aNames, aNow);
+  this->rates.Allocator().SetGateways(aNames, aNow);
 }
 
 void
 ServerNeeds::OnSuspended(TimePoint aNow)
 {
-  this->rates.Holders().Distrust(aNow);
+  this->rates.Allocator().Distrust(aNow);
 }
 
 void
@@ -110,21 +110,21 @@
 }
 
 void
-ServerNeeds::Tell(PeerDigest& aDigest, TimePoint aNow) const
+ServerNeeds::AddToDigest(PeerDigest& aDigest, TimePoint aNow) const
 {
-  aDigest.rates = this->rates.Tell(aNow);
-  aDigest.leaving = this->leaving.Tell(aNow);
+  aDigest.rates = this->rates.OutgoingUpdates(aNow);
+  aDigest.leaving = this->leaving.OutgoingUpdates(aNow);
 }
 
 void
-ServerNeeds::Hear(const PeerDigest& aDigest,
+ServerNeeds::ApplyDigest(const PeerDigest& aDigest,
                   const std::function<bool(const InstanceName&)>& aIsUsed,
                   TimePoint aNow)
 {
   // Departures of servers that are not listed are recorded too: a list that
   // arrives later may be older than the report.
   for (const LeavingNews& news : aDigest.leaving) {
-    if (this->leaving.Hear(news, aNow)) {
+    if (this->leaving.OnUpdate(news, aNow)) {
       LogLeaving(news.server, aDigest.gateway.Value(), news.age);
     }
   }
@@ -132,7 +132,7 @@
     if (!aIsUsed(news.server)) {
       continue;
     }
-    if (const auto change = this->rates.Hear(news, aNow)) {
+    if (const auto change = this->rates.OnUpdate(news, aNow)) {
       LogRateChange(news.server,
                     news.perSecond,
                     *change,
--- a/dogwoodvale/src/Gateway/ServerNeeds.h
+++ b/dogwoodvale/src/Gateway/ServerNeeds.h
@@ -26,11 +26,11 @@
                 const BackpressureNotice& aNotice,
                 TimePoint aNow);
   /// Adds the rate limits and departures that this gateway knows of.
-  void Tell(PeerDigest& aDigest, TimePoint aNow) const;
+  void AddToDigest(PeerDigest& aDigest, TimePoint aNow) const;
   /// \param aIsUsed whether this gateway may use the server. Rate limits of
   /// other servers are ignored, as the state of a server that is not listed
   /// would never be freed.
-  void Hear(const PeerDigest& aDigest,
+  void ApplyDigest(const PeerDigest& aDigest,
             const std::function<bool(const InstanceName&)>& aIsUsed,
             TimePoint aNow);
   /// Frees the state of a server that is no longer listed.
--- a/dogwoodvale/src/Gateway/UsageDuty.cpp
+++ b/dogwoodvale/src/Gateway/UsageDuty.cpp
@@ -85,7 +85,7 @@
 }
 
 void
-UsageDuty::Tell(PeerDigest& aDigest)
+UsageDuty::AddToDigest(PeerDigest& aDigest)
 {
   if (!this->IsOn()) {
     return;
@@ -93,12 +93,12 @@
   const TimePoint now = Now();
   aDigest.usage.timeOfDay = TimeOfDay();
   aDigest.usage.trueTime = this->TrueTime(now);
-  aDigest.usage.holdsDuty = this->reporter->IsActive(now);
-  aDigest.usage.counts = this->ledger.Tell();
+  aDigest.usage.isReporter = this->reporter->IsActive(now);
+  aDigest.usage.counts = this->ledger.OutgoingUpdates();
 }
 
 void
-UsageDuty::Hear(const PeerDigest& aDigest)
+UsageDuty::ApplyDigest(const PeerDigest& aDigest)
 {
   // Gateways of another cell send a digest now and then.
   const bool isOfCell =
@@ -107,11 +107,11 @@
     return;
   }
   const TimePoint now = Now();
-  this->clocks.OnHeard(aDigest.gateway, aDigest.usage.timeOfDay, now);
-  this->ledger.Hear({ aDigest.gateway, aDigest.incarnation },
+  this->clocks.OnClockSample(aDigest.gateway, aDigest.usage.timeOfDay, now);
+  this->ledger.OnUpdate({ aDigest.gateway, aDigest.incarnation },
                     aDigest.usage.counts);
   this->lastReports[aDigest.gateway] = { aDigest.usage.trueTime, now };
-  this->reporter->OnHeard(aDigest.gateway, aDigest.usage.holdsDuty, now);
+  this->reporter->OnHeartbeat(aDigest.gateway, aDigest.usage.isReporter, now);
 }
 
 std::string
@@ -143,7 +143,7 @@
     return;
   }
   for (const auto& [source, news] : document->sources) {
-    this->ledger.Hear(source, news);
+    this->ledger.OnUpdate(source, news);
   }
   if (cell != this->ownCell) {
     milliseconds& knownTo = this->cellsKnownTo[cell];
@@ -163,7 +163,7 @@
 // Reporting.
 
 void
-UsageDuty::Tend(PeerExchange& aPeers, std::mt19937_64& aRandom)
+UsageDuty::RunMaintenance(PeerExchange& aPeers, std::mt19937_64& aRandom)
 {
   if (!this->IsOn()) {
     return;
@@ -178,7 +178,7 @@
   });
   this->ledger.DropBefore(this->schedule.WindowAt(trueTime) - kWindowsKept);
   this->RequestMissingCounts(aPeers, aRandom);
-  this->reporter->Tend(now, trueTime, this->ownCell == 0, *this);
+  this->reporter->RunMaintenance(now, trueTime, this->ownCell == 0, *this);
 }
 
 void
@@ -186,7 +186,7 @@
 {
   const TimePoint now = Now();
   const bool isStarting = Between(this->startedAt, now) < kStartDuration;
-  const bool hasMissed = !this->ledger.IsWhole(this->LastEnded(now));
+  const bool hasMissed = !this->ledger.IsComplete(this->LastEnded(now));
   if ((isStarting && !this->hasInherited) || hasMissed) {
     this->RequestFromCell(this->ownCell, aPeers, aRandom);
   }
@@ -253,7 +253,7 @@
                (cell == this->ownCell ||
                 (known != this->cellsKnownTo.end() && known->second >= needed));
   }
-  return allReported && allCells && this->ledger.IsWhole(aWindow)
+  return allReported && allCells && this->ledger.IsComplete(aWindow)
            ? UsageKnowledge::Settled
            : UsageKnowledge::Open;
 }
--- a/dogwoodvale/src/Gateway/UsageDuty.h
+++ b/dogwoodvale/src/Gateway/UsageDuty.h
@@ -37,11 +37,11 @@
                    std::size_t aCells,
                    std::size_t aOwnCell);
   /// Adds this gateway's clock and counts.
-  void Tell(PeerDigest& aDigest);
+  void AddToDigest(PeerDigest& aDigest);
   /// Takes in another gateway's counts; ignored if it is of another cell.
-  void Hear(const PeerDigest& aDigest);
+  void ApplyDigest(const PeerDigest& aDigest);
   /// Call a few times a second.
-  void Tend(PeerExchange& aPeers, std::mt19937_64& aRandom);
+  void RunMaintenance(PeerExchange& aPeers, std::mt19937_64& aRandom);
   /// Hands the reporting over, for a planned stop. Counting goes on.
   void Stop();
 
--- a/dogwoodvale/src/Gateway/WarmStart.cpp
+++ b/dogwoodvale/src/Gateway/WarmStart.cpp
@@ -37,7 +37,7 @@
     query, [this](const absl::StatusOr<RangeResult>& aResult) {
       const std::unique_ptr<StoreCall> ended = std::move(this->readCall);
       if (aResult.ok() && !aResult->values.empty()) {
-        this->Take(aResult->values.front().value, "store");
+        this->Apply(aResult->values.front().value, "store");
       }
     });
 }
@@ -46,7 +46,7 @@
 WarmStart::WantsDocument(TimePoint aNow) const
 {
   return this->options.isOn && !this->hasDocument &&
-         Between(this->startedAt, aNow) < kStartTakes;
+         Between(this->startedAt, aNow) < kStartDuration;
 }
 
 WarmState
@@ -56,10 +56,10 @@
   state.instances = this->directory.Listed();
   const auto gateways = this->directory.Roster().Members();
   state.gateways.assign(gateways.begin(), gateways.end());
-  state.services = this->pool.Learned();
+  state.services = this->pool.Estimates();
   const std::size_t servers = std::max<std::size_t>(this->pool.Count(), 1);
-  state.caches = this->pool.Caches().Latest(
-    std::min(WarmState::kMostStepsOfOne, WarmState::kMostSteps / servers));
+  state.caches = this->pool.Caches().MostRecentlyUsed(
+    std::min(WarmState::kMostStepsOfOne, WarmState::kMaxSteps / servers));
   return state;
 }
 
@@ -70,7 +70,7 @@
 }
 
 void
-WarmStart::Take(std::string_view aBytes, std::string_view aFrom)
+WarmStart::Apply(std::string_view aBytes, std::string_view aFrom)
 {
   const TimePoint now = Now();
   const auto state = ReadWarmState(aBytes, this->options.secret);
@@ -116,17 +116,17 @@
 void
 WarmStart::OnHeard(const InstanceName& aGateway, TimePoint aNow)
 {
-  this->election.OnHeard(aGateway, false, aNow);
+  this->election.OnHeartbeat(aGateway, false, aNow);
 }
 
 void
-WarmStart::Tend(TimePoint aNow, bool aMayWrite)
+WarmStart::RunMaintenance(TimePoint aNow, bool aMayWrite)
 {
   const bool isDue = Between(this->writtenAt, aNow) >= kWritePeriod;
   if (!this->options.isOn || !isDue || this->writeCall != nullptr) {
     return;
   }
-  if (Between(this->startedAt, aNow) > kStartTakes) {
+  if (Between(this->startedAt, aNow) > kStartDuration) {
     this->caches.clear();
   }
   if (aMayWrite && this->election.RankOfSelf(aNow) == 0) {
--- a/dogwoodvale/src/Gateway/WarmStart.h
+++ b/dogwoodvale/src/Gateway/WarmStart.h
@@ -37,21 +37,21 @@
   /// Saves the state when due. Call a few times a second.
   /// \param aMayWrite whether this gateway is one of those that may write; the
   /// first of them does.
-  void Tend(TimePoint aNow, bool aMayWrite);
+  void RunMaintenance(TimePoint aNow, bool aMayWrite);
   /// Whether the state of another gateway is to be requested.
   bool WantsDocument(TimePoint aNow) const;
   /// This gateway's state, as Apply() reads it.
   std::string Document() const;
   /// Applies the state of another gateway or of the store; logs and ignores an
   /// invalid one. \param aFrom "store" or the gateway.
-  void Take(std::string_view aBytes, std::string_view aFrom);
+  void Apply(std::string_view aBytes, std::string_view aFrom);
 
   static constexpr std::string_view kKey = "dogwoodvale/warm";
   static constexpr std::string_view kPath = "/peer/warm";
   static constexpr Duration kWritePeriod = seconds(2);
   /// How long after the start the restored state is used: a gateway that has
   /// run longer has learned enough by itself.
-  static constexpr Duration kStartTakes = seconds(3);
+  static constexpr Duration kStartDuration = seconds(3);
 
 private:
   WarmState Collect() const;
--- a/dogwoodvale/src/Gateway/WarmState.h
+++ b/dogwoodvale/src/Gateway/WarmState.h
@@ -30,7 +30,7 @@
   /// Most steps of one server.
   static constexpr std::size_t kMostStepsOfOne = 64;
   /// Most steps of all servers together.
-  static constexpr std::size_t kMostSteps = 16'384;
+  static constexpr std::size_t kMaxSteps = 16'384;
 };
 
 /// \param aSecret shared by all gateways; ReadWarmState() rejects a state that
--- a/dogwoodvale/src/Placement/CacheBelief.cpp
+++ b/dogwoodvale/src/Placement/CacheBelief.cpp
@@ -91,7 +91,7 @@
 }
 
 std::vector<std::pair<InstanceName, std::vector<PromptStep>>>
-CacheBelief::Latest(std::size_t aMaxSteps) const
+CacheBelief::MostRecentlyUsed(std::size_t aMaxSteps) const
 {
   std::vector<std::pair<InstanceName, std::vector<PromptStep>>> latest;
   for (const auto& [server, cache] : this->caches) {
--- a/dogwoodvale/src/Placement/CacheBelief.h
+++ b/dogwoodvale/src/Placement/CacheBelief.h
@@ -46,7 +46,7 @@
             std::span<const PromptStep> aSteps,
             std::uint64_t aCapacity);
   /// For each server at most \p aMaxSteps steps, most recently used first.
-  std::vector<std::pair<InstanceName, std::vector<PromptStep>>> Latest(
+  std::vector<std::pair<InstanceName, std::vector<PromptStep>>> MostRecentlyUsed(
     std::size_t aMaxSteps) const;
   /// Number of steps cached by all servers together.
   std::size_t StepCount() const;
--- a/dogwoodvale/src/Placement/CacheFetch.cpp
+++ b/dogwoodvale/src/Placement/CacheFetch.cpp
@@ -61,7 +61,7 @@
   static bool IsSource(const DirectCandidate& aCandidate,
                        const DirectCandidate& aChosen)
   {
-    return aCandidate.standing == Standing::InService &&
+    return aCandidate.healthState == Standing::InService &&
            aCandidate.cachedTokens >= aChosen.cachedTokens + kMinFetchedTokens;
   }
 
--- a/dogwoodvale/src/Placement/DirectChoice.h
+++ b/dogwoodvale/src/Placement/DirectChoice.h
@@ -51,7 +51,7 @@
   std::uint32_t slots = 0;
   /// Capacity of its KV cache in tokens; 0 while unknown.
   std::uint64_t cacheTokens = 0;
-  Standing standing = Standing::InService;
+  Standing healthState = Standing::InService;
   /// Tokens of this request's prompt that it probably has cached.
   std::uint32_t cachedTokens = 0;
   /// Recently prefilled tokens of long prompts, see PrefillFlow.
--- a/dogwoodvale/src/Placement/DirectChooser.cpp
+++ b/dogwoodvale/src/Placement/DirectChooser.cpp
@@ -78,8 +78,8 @@
 bool
 IsUnavailable(const DirectCandidate& aCandidate)
 {
-  return aCandidate.standing == Standing::Ejected ||
-         (aCandidate.standing == Standing::OnTrial &&
+  return aCandidate.healthState == Standing::Ejected ||
+         (aCandidate.healthState == Standing::OnTrial &&
           aCandidate.work.requests > 0);
 }
 
--- a/dogwoodvale/src/Placement/Placer.cpp
+++ b/dogwoodvale/src/Placement/Placer.cpp
@@ -106,7 +106,7 @@
     PrefillTokensOf(aRequest.demand, server, placement.fetch);
   this->SetExpectations(
     server, aRequest, prefillTokens, aStatistics, placement);
-  placement.work = WorkOf(aRequest, prefillTokens, placement.place);
+  placement.work = WorkOf(aRequest, prefillTokens, placement.priority);
   return placement;
 }
 
@@ -118,14 +118,14 @@
                         Placement& aPlacement) const
 {
   const auto setPriority = [&](std::uint32_t aPriority) {
-    aPlacement.place = aPriority;
+    aPlacement.priority = aPriority;
     aPlacement.prefillAhead = aServer.work.PrefillUpTo(
       this->options.rankedReading ? aPriority : BackendWork::kRanks - 1);
     aPlacement.wait = WaitBehind(aStatistics, aServer, aPlacement.prefillAhead);
     aPlacement.firstToken = WaitBehind(
       aStatistics, aServer, aPlacement.prefillAhead + aPrefillTokens);
   };
-  setPriority(aRequest.places.inTime);
+  setPriority(aRequest.priorities.inTime);
   // The servers schedule short prompts between the long ones by themselves.
   if (!aRequest.demand.isLong || aRequest.hasBegun) {
     return;
@@ -141,7 +141,7 @@
   if (aRequest.spent + aPlacement.firstToken <= limit) {
     return;
   }
-  setPriority(aRequest.places.late);
+  setPriority(aRequest.priorities.late);
   aPlacement.timeliness =
     aRequest.isFirst && IsLateWaitTooLong(aPlacement.wait, aRequest.target)
       ? Timeliness::Hopeless
--- a/dogwoodvale/src/Placement/Placer.h
+++ b/dogwoodvale/src/Placement/Placer.h
@@ -38,7 +38,7 @@
 struct PlacementRequest
 {
   const DirectDemand& demand;
-  OrderPlaces places;
+  OrderPlaces priorities;
   /// The route's target for the time to the first token.
   Duration target{ 0 };
   /// Time since the request was accepted.
@@ -61,7 +61,7 @@
   std::size_t server = 0;
   Timeliness timeliness = Timeliness::InTime;
   /// The request's scheduling priority at the server, 0 first.
-  std::uint32_t place = 0;
+  std::uint32_t priority = 0;
   /// The server from which cached parts of the prompt are copied, if any.
   std::optional<FetchSource> fetch;
   /// Work that the request adds to the server.
--- a/dogwoodvale/src/Placement/PrefillFlow.cpp
+++ b/dogwoodvale/src/Placement/PrefillFlow.cpp
@@ -45,7 +45,7 @@
 }
 
 void
-PrefillFlow::OnLong(const InstanceName& aInstance,
+PrefillFlow::OnLongPrompt(const InstanceName& aInstance,
                     std::uint32_t aTokens,
                     TimePoint aNow)
 {
@@ -55,7 +55,7 @@
 }
 
 double
-PrefillFlow::Recent(const InstanceName& aInstance, TimePoint aNow) const
+PrefillFlow::RecentLongTokens(const InstanceName& aInstance, TimePoint aNow) const
 {
   const auto found = this->sums.find(aInstance);
   return found == this->sums.end() ? 0.0 : this->Decayed(found->second, aNow);
@@ -170,7 +170,7 @@
 }
 
 PrefillLearning
-PrefillFlow::Learned() const
+PrefillFlow::Estimates() const
 {
   return { this->meanTokens, this->tokensPerMicro, this->meanStayMicros };
 }
--- a/dogwoodvale/src/Placement/PrefillFlow.h
+++ b/dogwoodvale/src/Placement/PrefillFlow.h
@@ -41,12 +41,12 @@
 
   /// Records that a long prompt was sent to the server, which prefills
   /// \p aTokens of it.
-  void OnLong(const InstanceName& aInstance,
+  void OnLongPrompt(const InstanceName& aInstance,
               std::uint32_t aTokens,
               TimePoint aNow);
   /// Tokens of long prompts sent to the server, decaying exponentially with the
   /// time constant MeanStay().
-  double Recent(const InstanceName& aInstance, TimePoint aNow) const;
+  double RecentLongTokens(const InstanceName& aInstance, TimePoint aNow) const;
   /// The server is gone: drops its statistics.
   void Forget(const InstanceName& aInstance);
 
@@ -94,7 +94,7 @@
   std::optional<double> TokensPerTurn(std::uint32_t aSlots) const;
 
   /// The averages measured so far, for Seed() after a restart.
-  PrefillLearning Learned() const;
+  PrefillLearning Estimates() const;
   /// Takes averages measured before a restart for those not measured yet.
   void Seed(const PrefillLearning& aLearned);
 
--- a/dogwoodvale/src/Quarantine/BrokenRuns.cpp
+++ b/dogwoodvale/src/Quarantine/BrokenRuns.cpp
@@ -20,7 +20,7 @@
 }
 
 std::vector<CrashEvidence>
-BrokenRuns::OnEnded(const InstanceName& aInstance)
+BrokenRuns::OnServerExited(const InstanceName& aInstance)
 {
   const auto found = this->servers.find(aInstance);
   if (found == this->servers.end()) {
@@ -50,7 +50,7 @@
 }
 
 std::vector<InstanceName>
-BrokenRuns::Open() const
+BrokenRuns::UnresolvedServers() const
 {
   std::vector<InstanceName> names;
   for (const auto& [name, attempts] : this->servers) {
--- a/dogwoodvale/src/Quarantine/BrokenRuns.h
+++ b/dogwoodvale/src/Quarantine/BrokenRuns.h
@@ -23,7 +23,7 @@
            TimePoint aNow);
   /// The server has exited: removes its attempts.
   /// \return them as evidence; empty if there are none.
-  std::vector<CrashEvidence> OnEnded(const InstanceName& aInstance);
+  std::vector<CrashEvidence> OnServerExited(const InstanceName& aInstance);
   /// The server accepts connections: its attempts are discarded.
   void OnAlive(const InstanceName& aInstance);
   /// Whether an attempt of the request is at a server whose first unresolved
@@ -31,7 +31,7 @@
   /// this server may still come.
   bool HasJustBroken(RequestFingerprint aRequest, TimePoint aNow) const;
   /// Servers with unresolved attempts.
-  std::vector<InstanceName> Open() const;
+  std::vector<InstanceName> UnresolvedServers() const;
   /// Discards the attempts of servers that are unresolved after
   /// kResolveTimeout.
   void Expire(TimePoint aNow);
--- a/dogwoodvale/src/Quarantine/CrashLedger.cpp
+++ b/dogwoodvale/src/Quarantine/CrashLedger.cpp
@@ -160,7 +160,7 @@
 }
 
 std::vector<RequestFingerprint>
-CrashLedger::Judge(TimePoint aNow)
+CrashLedger::Evaluate(TimePoint aNow)
 {
   std::vector<RequestFingerprint> quarantined;
   for (const auto& [request, suspect] : this->suspects) {
@@ -309,7 +309,7 @@
 }
 
 CrashStanding
-CrashLedger::StandingOf(RequestFingerprint aRequest, TimePoint aNow) const
+CrashLedger::StatusOf(RequestFingerprint aRequest, TimePoint aNow) const
 {
   if (this->QuarantineLeft(aRequest, aNow) > Duration::zero()) {
     return CrashStanding::Quarantined;
@@ -328,7 +328,7 @@
   }
   const bool wouldSuffice = Sum(found->second.exits) >= kQuarantineScore;
   const Duration settles =
-    wouldSuffice ? Duration(kSettleTime + kJudgePeriod) : kPeerEvidenceDelay;
+    wouldSuffice ? Duration(kSettleTime + kEvaluationPeriod) : kPeerEvidenceDelay;
   return std::ranges::any_of(found->second.exits, [&](const ServerExit& aExit) {
     return aExit.weight != CrashWeight::None &&
            Between(aExit.receivedAt, aNow) < settles;
@@ -356,7 +356,7 @@
 }
 
 CrashNews
-CrashLedger::News(TimePoint aNow) const
+CrashLedger::OutgoingUpdate(TimePoint aNow) const
 {
   const auto isNew = [aNow](TimePoint aReceivedAt) {
     return Between(aReceivedAt, aNow) < kRepeatTime;
@@ -386,12 +386,12 @@
     }
   }
   std::ranges::sort(lines, std::greater<>(), &Line::score);
-  lines.resize(std::min(lines.size(), kMostNews));
+  lines.resize(std::min(lines.size(), kMaxUpdateEntries));
   for (const Line& line : lines) {
     news.evidence.push_back(line.evidence);
   }
   std::ranges::sort(news.verdicts, std::greater<>(), &QuarantineVerdict::left);
-  news.verdicts.resize(std::min(news.verdicts.size(), kMostNews));
+  news.verdicts.resize(std::min(news.verdicts.size(), kMaxUpdateEntries));
   return news;
 }
 
--- a/dogwoodvale/src/Quarantine/CrashLedger.h
+++ b/dogwoodvale/src/Quarantine/CrashLedger.h
@@ -69,7 +69,7 @@
   enum class Source : std::uint8_t
   {
     Own,
-    Told,
+    Peer,
   };
 
   explicit CrashLedger(Duration aQuarantine);
@@ -80,7 +80,7 @@
   /// Evaluates the evidence received at least kSettleTime ago; called every
   /// kEvaluationPeriod.
   /// \return requests that this call quarantines.
-  std::vector<RequestFingerprint> Judge(TimePoint aNow);
+  std::vector<RequestFingerprint> Evaluate(TimePoint aNow);
   /// Applies another gateway's verdict.
   /// \return whether it overrides the one known here.
   bool Take(const QuarantineVerdict& aVerdict, TimePoint aNow);
@@ -88,7 +88,7 @@
   /// \return whether this lifts its quarantine.
   bool OnAnswered(RequestFingerprint aRequest, TimePoint aNow);
 
-  CrashStanding StandingOf(RequestFingerprint aRequest, TimePoint aNow) const;
+  CrashStanding StatusOf(RequestFingerprint aRequest, TimePoint aNow) const;
   /// Remaining time of its quarantine; zero if it is not quarantined.
   Duration QuarantineLeft(RequestFingerprint aRequest, TimePoint aNow) const;
   /// Whether more evidence may still arrive from other gateways, or the
@@ -108,7 +108,7 @@
   /// everything else for kRepeatTime. Evidence from other gateways is forwarded
   /// only for requests with two exits or more: those with one exit are many,
   /// and every gateway nearby has received their evidence first-hand.
-  CrashNews News(TimePoint aNow) const;
+  CrashNews OutgoingUpdate(TimePoint aNow) const;
   /// Requests with a score above 0.
   std::vector<RequestFingerprint> Suspects() const;
   /// Drops evidence and verdicts older than kRetention.
@@ -141,13 +141,13 @@
   /// Time in which reports arrive from other gateways that had duplicates of
   /// the request in flight.
   static constexpr Duration kPeerEvidenceDelay = milliseconds(200);
-  static constexpr Duration kJudgePeriod = milliseconds(200);
+  static constexpr Duration kEvaluationPeriod = milliseconds(200);
   /// Time for which an entry is repeated, as datagrams may be lost: in thirty
   /// datagrams between four gateways, in nine between thirty.
   static constexpr Duration kRepeatTime = milliseconds(1500);
   /// Maximum evidence entries and maximum verdicts in one message, 3 KB
   /// together.
-  static constexpr std::size_t kMostNews = 96;
+  static constexpr std::size_t kMaxUpdateEntries = 96;
 
 private:
   struct ServerExit
--- a/dogwoodvale/src/Routing/BackendTable.cpp
+++ b/dogwoodvale/src/Routing/BackendTable.cpp
@@ -61,7 +61,7 @@
 BackendTable::SetStanding(const InstanceName& aName, Standing aState)
 {
   if (Backend* known = this->FindMutable(aName)) {
-    known->standing = aState;
+    known->healthState = aState;
   }
 }
 
--- a/dogwoodvale/src/Routing/BackendTable.h
+++ b/dogwoodvale/src/Routing/BackendTable.h
@@ -48,7 +48,7 @@
   DataCentreName dataCentre;
   /// Connected and not draining.
   bool available = false;
-  Standing standing = Standing::InService;
+  Standing healthState = Standing::InService;
   LoadReport report;
   /// Time of the last report; TimePoint{} before the first.
   TimePoint reportedAt{};
@@ -88,8 +88,8 @@
   bool IsUsable() const
   {
     return this->available &&
-           (this->standing == Standing::InService ||
-            (this->standing == Standing::OnTrial && this->inFlight == 0));
+           (this->healthState == Standing::InService ||
+            (this->healthState == Standing::OnTrial && this->inFlight == 0));
   }
 };
 
--- a/dogwoodvale/src/Routing/HealthTracker.cpp
+++ b/dogwoodvale/src/Routing/HealthTracker.cpp
@@ -138,7 +138,7 @@
 }
 
 Standing
-HealthTracker::StandingOf(const InstanceName& aName) const
+HealthTracker::HealthStateOf(const InstanceName& aName) const
 {
   const auto found = this->servers.find(aName);
   return found == this->servers.end() ? Standing::InService
--- a/dogwoodvale/src/Routing/HealthTracker.h
+++ b/dogwoodvale/src/Routing/HealthTracker.h
@@ -42,7 +42,7 @@
 struct HealthChange
 {
   InstanceName name;
-  Standing standing = Standing::InService;
+  Standing healthState = Standing::InService;
   /// Cause, for logs: "slow", "failing", "crashed", "trial" (probing begins),
   /// "recovered" or "needed" (returned because of the load).
   const char* reason = "";
@@ -81,7 +81,7 @@
   std::vector<HealthChange> Evaluate(TimePoint aNow, double aLoad = 0.0);
 
   /// InService for an unknown server.
-  Standing StandingOf(const InstanceName& aName) const;
+  Standing HealthStateOf(const InstanceName& aName) const;
   /// Number of servers that are ejected or being probed.
   std::size_t OutCount() const;
 
--- a/dogwoodvale/src/Sidecar/Sidecar.cpp
+++ b/dogwoodvale/src/Sidecar/Sidecar.cpp
@@ -108,8 +108,8 @@
   hello.instance = this->settings.instance.Value();
   hello.dataCentre = this->settings.dataCentre.Value();
   hello.incarnation = this->incarnation;
-  hello.epoch = this->control->Keeper().CurrentEpoch();
-  hello.rootHash = this->control->Keeper().CurrentHash();
+  hello.epoch = this->control->Manager().CurrentEpoch();
+  hello.rootHash = this->control->Manager().CurrentHash();
   return hello;
 }
 
@@ -120,8 +120,8 @@
   notice.draining = this->dispatcher->IsDraining();
   notice.backendUp = this->dispatcher->IsBackendUp();
   notice.load = this->dispatcher->Load(aEntry);
-  notice.epoch = this->control->Keeper().CurrentEpoch();
-  notice.rootHash = this->control->Keeper().CurrentHash();
+  notice.epoch = this->control->Manager().CurrentEpoch();
+  notice.rootHash = this->control->Manager().CurrentHash();
   notice.idlePeriodMillis = IdlePeriodMillis(this->sessions.size());
   notice.storeContactAgeMillis = this->control->ContactAgeMillis();
   return notice;
@@ -133,7 +133,7 @@
   const Duration period =
     std::max(kLeastTellPeriod,
              Duration(milliseconds(IdlePeriodMillis(this->sessions.size()))));
-  this->control->Keeper().SetContactPeriod(period);
+  this->control->Manager().SetContactPeriod(period);
   const TimePoint now = Now();
   const bool due = now - this->lastTold >= period;
   if (due) {
@@ -172,7 +172,7 @@
   if (aNotice.storeContactAgeMillis != ControlPlane::kUnknownAge) {
     age = milliseconds(aNotice.storeContactAgeMillis);
   }
-  this->control->Keeper().OnPeerEpoch(InstanceName(aSession.Peer().instance),
+  this->control->Manager().OnPeerEpoch(InstanceName(aSession.Peer().instance),
                                       aNotice.epoch,
                                       aNotice.rootHash,
                                       age);
@@ -181,7 +181,7 @@
 void
 Sidecar::OnSessionClosed(SidecarSession& aSession)
 {
-  this->control->Keeper().OnPeerLost(InstanceName(aSession.Peer().instance));
+  this->control->Manager().OnPeerLost(InstanceName(aSession.Peer().instance));
   this->sweepTimer.StartOnce(Duration(0));
 }
 
@@ -195,7 +195,7 @@
     aAttempt.Ask({ request.epoch, request.have });
     return;
   }
-  this->control->Keeper().OnPeerEpoch(
+  this->control->Manager().OnPeerEpoch(
     aAttempt.Entry(), aOffer.epoch, aOffer.rootHash, std::nullopt);
 }
 
@@ -209,10 +209,10 @@
   }
   this->sweepTimer.StartOnce(Duration(0));
   if (aReply.ok()) {
-    this->control->Keeper().OnFetched(aAttempt.Entry(),
+    this->control->Manager().OnFetched(aAttempt.Entry(),
                                       ToBundle(*std::move(aReply)));
   } else {
-    this->control->Keeper().OnFetched(aAttempt.Entry(), aReply.status());
+    this->control->Manager().OnFetched(aAttempt.Entry(), aReply.status());
   }
 }
 
@@ -268,7 +268,7 @@
   }
   if (const auto* fetch = std::get_if<FetchConfiguration>(&aQuery)) {
     return ToReply(
-      this->control->Keeper().Answer({ fetch->epoch, fetch->have }));
+      this->control->Manager().Answer({ fetch->epoch, fetch->have }));
   }
   if (std::holds_alternative<StatusQuery>(aQuery)) {
     return StatusReply{ this->Statusz() };
@@ -431,7 +431,7 @@
 Sidecar::Metrics()
 {
   return this->metrics.Render(*this->dispatcher,
-                              this->control->Keeper().CurrentEpoch(),
+                              this->control->Manager().CurrentEpoch(),
                               this->sessions.size(),
                               this->listener->RejectedCount());
 }
@@ -446,9 +446,9 @@
   status["region"] = this->settings.region.Value();
   status["version"] = DOGWOODVALE_VERSION;
   status["incarnation"] = fmt::format("{:016x}", this->incarnation);
-  const AcceptedConfiguration* accepted = this->control->Keeper().Current();
-  status["epoch"] = Json::UInt64(this->control->Keeper().CurrentEpoch());
-  status["root_hash"] = this->control->Keeper().CurrentHash();
+  const AcceptedConfiguration* accepted = this->control->Manager().Current();
+  status["epoch"] = Json::UInt64(this->control->Manager().CurrentEpoch());
+  status["root_hash"] = this->control->Manager().CurrentHash();
   status["change_id"] = accepted == nullptr ? "" : accepted->root.changeId;
   status["store"] = this->control->Describe();
   status["service"] = this->settings.sidecar.service;
@@ -478,7 +478,7 @@
 Sidecar::Other(const HttpRequest& aRequest)
 {
   if (aRequest.method == "GET" && aRequest.path == "/configuration") {
-    return { kHttpOk, "application/json", this->control->Keeper().Export() };
+    return { kHttpOk, "application/json", this->control->Manager().Export() };
   }
   if (aRequest.method == "POST" && aRequest.path == "/drain") {
     this->Drain();
--- a/dogwoodvale/src/Store/ControlPlane.h
+++ b/dogwoodvale/src/Store/ControlPlane.h
@@ -34,7 +34,7 @@
 
   void Start();
 
-  ConfigurationKeeper& Keeper() { return *this->manager; }
+  ConfigurationKeeper& Manager() { return *this->manager; }
   const ConfigurationKeeper& Keeper() const { return *this->manager; }
   /// nullptr if the settings have no store.
   StoreClient* Store() { return this->store.get(); }
--- a/test/CrashLedger.cpp
+++ b/test/CrashLedger.cpp
@@ -44,7 +44,7 @@
 std::vector<RequestFingerprint>
 EvaluateLater(CrashLedger& aLedger, TimePoint aSince = kStart)
 {
-  return aLedger.Judge(aSince + CrashLedger::kSettleTime);
+  return aLedger.Evaluate(aSince + CrashLedger::kSettleTime);
 }
 
 bool
@@ -52,7 +52,7 @@
               RequestFingerprint aRequest,
               TimePoint aNow = kStart)
 {
-  return aLedger.StandingOf(aRequest, aNow) == CrashStanding::Quarantined;
+  return aLedger.StatusOf(aRequest, aNow) == CrashStanding::Quarantined;
 }
 
 void
@@ -62,7 +62,7 @@
     aLedger.Take(verdict, aNow);
   }
   for (const CrashEvidence& evidence : aNews.evidence) {
-    aLedger.Take(evidence, Source::Told, aNow);
+    aLedger.Take(evidence, Source::Peer, aNow);
   }
 }
 
@@ -73,24 +73,24 @@
 {
   CrashLedger ledger(kQuarantine);
   ExitServers(ledger, 2, { kCrashing });
-  CHECK(ledger.StandingOf(kCrashing, kStart) == CrashStanding::Suspect);
+  CHECK(ledger.StatusOf(kCrashing, kStart) == CrashStanding::Suspect);
   ledger.Take(Early(kOther, 3), Source::Own, kStart);
   ledger.Take(Early(kCrashing, 3), Source::Own, kStart);
-  CHECK(ledger.Judge(kStart).empty());
+  CHECK(ledger.Evaluate(kStart).empty());
   CHECK(EvaluateLater(ledger) == std::vector{ kCrashing });
   CHECK(ledger.QuarantineLeft(kCrashing, kStart + CrashLedger::kSettleTime) ==
         kQuarantine);
   // The three exits are attributed: they no longer count against the other.
-  CHECK(ledger.StandingOf(kOther, kStart) == CrashStanding::Clear);
-  ledger.Take(Early(kOther, 2), Source::Told, kStart);
-  CHECK(ledger.StandingOf(kOther, kStart) == CrashStanding::Clear);
+  CHECK(ledger.StatusOf(kOther, kStart) == CrashStanding::Clear);
+  ledger.Take(Early(kOther, 2), Source::Peer, kStart);
+  CHECK(ledger.StatusOf(kOther, kStart) == CrashStanding::Clear);
 }
 
 TEST_CASE("the exit of one server counts once", "[crashes]")
 {
   CrashLedger ledger(kQuarantine);
   for (int i = 0; i < 10; ++i) {
-    ledger.Take(Early(kCrashing, 1), Source::Told, kStart);
+    ledger.Take(Early(kCrashing, 1), Source::Peer, kStart);
   }
   CHECK(ledger.ScoreOf(kCrashing) == 2);
 }
@@ -118,12 +118,12 @@
   {
     ledger.Take(Early(kCrashing, 4), Source::Own, kStart);
     CHECK(EvaluateLater(ledger) == std::vector{ kCrashing });
-    CHECK(ledger.StandingOf(kOther, kStart) == CrashStanding::Clear);
+    CHECK(ledger.StatusOf(kOther, kStart) == CrashStanding::Clear);
   }
   SECTION("by an answer")
   {
     ledger.OnAnswered(kOther, kStart);
-    CHECK(ledger.StandingOf(kOther, kStart) == CrashStanding::Clear);
+    CHECK(ledger.StatusOf(kOther, kStart) == CrashStanding::Clear);
     ledger.Take(Early(kCrashing, 4), Source::Own, kStart);
     CHECK(EvaluateLater(ledger) == std::vector{ kCrashing });
   }
@@ -139,17 +139,17 @@
   CrashLedger here(kQuarantine);
   CrashLedger there(kQuarantine);
   ExitServers(here, 2, { kOther });
-  const CrashNews before = here.News(kStart);
+  const CrashNews before = here.OutgoingUpdate(kStart);
   Apply(there, before, kStart);
   CHECK(there.ScoreOf(kOther) == 4);
   there.OnAnswered(kOther, kStart);
-  Apply(here, there.News(kStart), kStart);
-  CHECK(here.StandingOf(kOther, kStart) == CrashStanding::Clear);
+  Apply(here, there.OutgoingUpdate(kStart), kStart);
+  CHECK(here.StatusOf(kOther, kStart) == CrashStanding::Clear);
   // A digest that arrives out of order does not restore the evidence.
   Apply(here, before, kStart);
   Apply(there, before, kStart);
-  CHECK(here.StandingOf(kOther, kStart) == CrashStanding::Clear);
-  CHECK(there.StandingOf(kOther, kStart) == CrashStanding::Clear);
+  CHECK(here.StatusOf(kOther, kStart) == CrashStanding::Clear);
+  CHECK(there.StatusOf(kOther, kStart) == CrashStanding::Clear);
 }
 
 // A server of a new version answers the request that crashed the old one. Other
@@ -163,22 +163,22 @@
   ExitServers(here, 3, { kCrashing });
   EvaluateLater(here);
   const TimePoint evaluatedAt = kStart + CrashLedger::kSettleTime;
-  Apply(there, here.News(evaluatedAt), evaluatedAt);
+  Apply(there, here.OutgoingUpdate(evaluatedAt), evaluatedAt);
   CHECK(IsQuarantined(there, kCrashing, evaluatedAt));
   CHECK(here.OnAnswered(kCrashing, evaluatedAt));
-  Apply(here, there.News(evaluatedAt), evaluatedAt);
+  Apply(here, there.OutgoingUpdate(evaluatedAt), evaluatedAt);
   CHECK_FALSE(IsQuarantined(here, kCrashing, evaluatedAt));
   // Later: the lifting is no longer repeated, but an older verdict restarts it.
   const TimePoint later = kStart + seconds(20);
-  Apply(here, there.News(later), later);
-  Apply(there, here.News(later), later);
+  Apply(here, there.OutgoingUpdate(later), later);
+  Apply(there, here.OutgoingUpdate(later), later);
   CHECK_FALSE(IsQuarantined(there, kCrashing, later));
   for (ServerKey server = 11; server <= 13; ++server) {
     here.Take(Early(kCrashing, server), Source::Own, later);
   }
   EvaluateLater(here, later);
   const TimePoint again = later + CrashLedger::kSettleTime;
-  Apply(there, here.News(again), again);
+  Apply(there, here.OutgoingUpdate(again), again);
   CHECK(IsQuarantined(there, kCrashing, again));
 }
 
@@ -190,14 +190,14 @@
   EvaluateLater(ledger);
   const TimePoint over = kStart + kQuarantine + seconds(1);
   ledger.Expire(over);
-  CHECK(ledger.StandingOf(kCrashing, over) == CrashStanding::Suspect);
+  CHECK(ledger.StatusOf(kCrashing, over) == CrashStanding::Suspect);
   ledger.Take(Early(kCrashing, 9), Source::Own, over);
   CHECK(EvaluateLater(ledger, over) == std::vector{ kCrashing });
   // After the retention time everything is dropped.
   const TimePoint past =
     over + kQuarantine + CrashLedger::kRetention + seconds(1);
   ledger.Expire(past);
-  CHECK(ledger.StandingOf(kCrashing, past) == CrashStanding::Clear);
+  CHECK(ledger.StatusOf(kCrashing, past) == CrashStanding::Clear);
   CHECK(ledger.SuspectCount() == 0);
 }
 
@@ -213,8 +213,8 @@
   EvaluateLater(here);
   TimePoint now = kStart + CrashLedger::kSettleTime;
   for (; now < kStart + seconds(11); now += milliseconds(50)) {
-    Apply(there, here.News(now), now + milliseconds(30));
-    Apply(here, there.News(now), now + milliseconds(30));
+    Apply(there, here.OutgoingUpdate(now), now + milliseconds(30));
+    Apply(here, there.OutgoingUpdate(now), now + milliseconds(30));
   }
   CHECK_FALSE(IsQuarantined(here, kCrashing, now));
   CHECK_FALSE(IsQuarantined(there, kCrashing, now));
@@ -230,8 +230,8 @@
     ledger.Take(Early(request, 50), Source::Own, kStart + milliseconds(1));
   }
   CHECK(ledger.SuspectCount() == CrashLedger::kMaxSuspects);
-  const CrashNews news = ledger.News(kStart + milliseconds(2));
-  CHECK(news.evidence.size() == CrashLedger::kMostNews);
+  const CrashNews news = ledger.OutgoingUpdate(kStart + milliseconds(2));
+  CHECK(news.evidence.size() == CrashLedger::kMaxUpdateEntries);
   CHECK(news.evidence.front().request == kCrashing);
   ledger.Take(Early(kCrashing, 3), Source::Own, kStart);
   CHECK(EvaluateLater(ledger) == std::vector{ kCrashing });
@@ -270,20 +270,20 @@
   CHECK_FALSE(broken.Add(server, kCrashing, CrashWeight::Early, kStart));
   SECTION("it exited")
   {
-    CHECK(broken.OnEnded(server) ==
+    CHECK(broken.OnServerExited(server) ==
           std::vector{ Late(kOther, ServerKeyOf(server)),
                        Early(kCrashing, ServerKeyOf(server)) });
-    CHECK(broken.OnEnded(server).empty());
+    CHECK(broken.OnServerExited(server).empty());
   }
   SECTION("it is alive")
   {
     broken.OnAlive(server);
-    CHECK(broken.OnEnded(server).empty());
+    CHECK(broken.OnServerExited(server).empty());
   }
   SECTION("its state stays unknown")
   {
     broken.Expire(kStart + BrokenRuns::kResolveTimeout + Duration(1));
-    CHECK(broken.Open().empty());
+    CHECK(broken.UnresolvedServers().empty());
   }
 }
 
@@ -328,7 +328,7 @@
       if (server < 3) {
         source.Take(Early(kOther, server), Source::Own, kStart);
       }
-      sent.push_back(source.News(kStart));
+      sent.push_back(source.OutgoingUpdate(kStart));
     }
     const auto count = sent.size();
     const auto order = *rc::gen::container<std::vector<std::size_t>>(
--- a/test/CrashModel.cpp
+++ b/test/CrashModel.cpp
@@ -135,7 +135,7 @@
     const std::size_t gateway = this->Draw(this->gateways.size());
     Server& server = this->servers[this->Draw(this->servers.size())];
     if (server.backAt > this->now ||
-        this->gateways[gateway].ledger.StandingOf(aRequest, this->now) ==
+        this->gateways[gateway].ledger.StatusOf(aRequest, this->now) ==
           CrashStanding::Quarantined) {
       return;
     }
@@ -242,7 +242,7 @@
                                  Duration(seconds(targets.size())) /
                                    PeerExchange::kDigestsPerSecond);
       PeerDigest digest;
-      digest.crashes = from.ledger.News(this->now);
+      digest.crashes = from.ledger.OutgoingUpdate(this->now);
       from.bytesInSecond +=
         (WriteDigest(digest, "secret").size() - empty) * targets.size();
       this->result.mostBytesPerSecond =
@@ -261,21 +261,21 @@
       aGateway.ledger.Take(verdict, this->now);
     }
     for (const CrashEvidence& evidence : aNews.evidence) {
-      aGateway.ledger.Take(evidence, CrashLedger::Source::Told, this->now);
+      aGateway.ledger.Take(evidence, CrashLedger::Source::Peer, this->now);
     }
   }
 
   void EvaluateLedgers(long aStep)
   {
-    if (aStep % (CrashLedger::kJudgePeriod / kStep) != 0) {
+    if (aStep % (CrashLedger::kEvaluationPeriod / kStep) != 0) {
       return;
     }
     bool allKnow = true;
     for (Gateway& gateway : this->gateways) {
-      for (const RequestFingerprint request : gateway.ledger.Judge(this->now)) {
+      for (const RequestFingerprint request : gateway.ledger.Evaluate(this->now)) {
         this->result.othersQuarantined += request == kCrashing ? 0 : 1;
       }
-      allKnow = allKnow && gateway.ledger.StandingOf(kCrashing, this->now) ==
+      allKnow = allKnow && gateway.ledger.StatusOf(kCrashing, this->now) ==
                              CrashStanding::Quarantined;
       this->result.mostSuspects =
         std::max(this->result.mostSuspects, gateway.ledger.SuspectCount());
--- a/test/DirectoryKeeper.cpp
+++ b/test/DirectoryKeeper.cpp
@@ -123,10 +123,10 @@
   setup.store.Write("routes", "5");
   setup.Pass(milliseconds(100));
   CHECK(setup.observer.versions == std::vector<Epoch>{ 5 });
-  CHECK_FALSE(setup.directory.Routes().Take("3", "g2"));
-  CHECK(setup.directory.Routes().Take("9", "g2"));
+  CHECK_FALSE(setup.directory.Routes().Apply("3", "g2"));
+  CHECK(setup.directory.Routes().Apply("9", "g2"));
   CHECK(setup.directory.Routes().Version() == 9);
-  CHECK_FALSE(setup.directory.Routes().Take("0", "g2"));
+  CHECK_FALSE(setup.directory.Routes().Apply("0", "g2"));
 }
 
 TEST_CASE("an outdated entry does not bring back a leaving server",
@@ -330,7 +330,7 @@
     for (Duration at{ 0 }; at < aTime; at += milliseconds(10)) {
       if (aWithReports) {
         this->directory.NoteOthersList(
-          { this->directory.List(Now()).sum, milliseconds(1) }, Now());
+          { this->directory.List(Now()).checksum, milliseconds(1) }, Now());
       }
       this->Pass(milliseconds(10));
     }
@@ -354,11 +354,11 @@
   CHECK(withReports >= 10);
   // The reported age is that of the gateway's own read.
   setup.directory.NoteOthersList(
-    { setup.directory.List(Now()).sum, milliseconds(0) }, Now());
+    { setup.directory.List(Now()).checksum, milliseconds(0) }, Now());
   setup.store.mode = FakeStore::Mode::Down;
   setup.Pass(milliseconds(200));
   setup.directory.NoteOthersList(
-    { setup.directory.List(Now()).sum, milliseconds(0) }, Now());
+    { setup.directory.List(Now()).checksum, milliseconds(0) }, Now());
   CHECK(setup.directory.List(Now()).age >= milliseconds(150));
 }
 
@@ -366,7 +366,7 @@
           "[directory]")
 {
   SettledSetup setup;
-  const std::uint64_t sum = setup.directory.List(Now()).sum;
+  const std::uint64_t sum = setup.directory.List(Now()).checksum;
   REQUIRE(sum != 0);
   setup.store.mode = FakeStore::Mode::Down;
   setup.Pass(milliseconds(100));
--- a/test/GatewayParts.cpp
+++ b/test/GatewayParts.cpp
@@ -287,7 +287,7 @@
   const DirectDemand demand;
   std::vector<DirectCandidate> servers{ Candidate("out", 0, 0),
                                         Candidate("busy", 7, 0) };
-  servers[0].standing = Standing::Ejected;
+  servers[0].healthState = Standing::Ejected;
   CHECK(Chosen(servers, demand) == "busy");
   servers.pop_back();
   CHECK(Chosen(servers, demand) == "out");
@@ -306,12 +306,12 @@
   CHECK_FALSE(flow.IsLong(800));
   const InstanceName e1("e1");
   flow.OnStay(seconds(1));
-  flow.OnLong(e1, 5000, At(seconds(0)));
-  CHECK(flow.Recent(e1, At(seconds(0))) == Approx(5000));
-  CHECK(flow.Recent(e1, At(seconds(1))) ==
+  flow.OnLongPrompt(e1, 5000, At(seconds(0)));
+  CHECK(flow.RecentLongTokens(e1, At(seconds(0))) == Approx(5000));
+  CHECK(flow.RecentLongTokens(e1, At(seconds(1))) ==
         Approx(5000 / 2.71828).epsilon(0.01));
   flow.Forget(e1);
-  CHECK(flow.Recent(e1, At(seconds(1))) == 0);
+  CHECK(flow.RecentLongTokens(e1, At(seconds(1))) == 0);
 }
 
 TEST_CASE("a digest is decoded unchanged or rejected", "[digest]")
@@ -487,7 +487,7 @@
   }
   CHECK(taken.count(0) == 10);
   CHECK(taken.count(1) == 10);
-  engines[2].standing = Standing::Ejected;
+  engines[2].healthState = Standing::Ejected;
   CHECK(*turns->Choose(engines, demand, random) != 2);
   CHECK(DirectChooser::Create("best") == nullptr);
 }
--- a/test/LeavingServers.cpp
+++ b/test/LeavingServers.cpp
@@ -88,18 +88,18 @@
   LeavingServers own;
   CHECK(own.OnAnswer(server, start));
   CHECK_FALSE(own.OnAnswer(server, start + seconds(1)));
-  REQUIRE(own.Tell(start + seconds(5)).size() == 1);
-  CHECK(own.Tell(start + seconds(5))[0].age == seconds(5));
-  CHECK(own.Tell(start + LeavingServers::kTell).empty());
+  REQUIRE(own.OutgoingUpdates(start + seconds(5)).size() == 1);
+  CHECK(own.OutgoingUpdates(start + seconds(5))[0].age == seconds(5));
+  CHECK(own.OutgoingUpdates(start + LeavingServers::kTell).empty());
   CHECK(own.Contains(server));
 
   LeavingServers other;
-  CHECK(other.Hear({ server, seconds(50) }, start));
-  CHECK_FALSE(other.Hear({ server, seconds(1) }, start));
+  CHECK(other.OnUpdate({ server, seconds(50) }, start));
+  CHECK_FALSE(other.OnUpdate({ server, seconds(1) }, start));
   // Forwarding a report does not make it younger.
-  CHECK(other.Tell(start + seconds(10)).empty());
+  CHECK(other.OutgoingUpdates(start + seconds(10)).empty());
   CHECK(other.Contains(server));
-  CHECK_FALSE(other.Hear({ InstanceName("e2"), std::chrono::hours(1) }, start));
+  CHECK_FALSE(other.OnUpdate({ InstanceName("e2"), std::chrono::hours(1) }, start));
 }
 
 TEST_CASE("the earliest departures are evicted when there are too many",
@@ -107,13 +107,13 @@
 {
   LeavingServers servers;
   const TimePoint start = TimePoint{} + seconds(100);
-  for (std::size_t i = 0; i < LeavingServers::kMost + 10; ++i) {
+  for (std::size_t i = 0; i < LeavingServers::kMaxServers + 10; ++i) {
     servers.OnAnswer(InstanceName(fmt::format("e{}", i)),
                      start + i * milliseconds(1));
   }
   CHECK_FALSE(servers.Contains(InstanceName("e0")));
   CHECK(servers.Contains(InstanceName("e10")));
-  CHECK(servers.Tell(start + seconds(10)).size() == LeavingServers::kMostNews);
+  CHECK(servers.OutgoingUpdates(start + seconds(10)).size() == LeavingServers::kMaxUpdates);
 }
 
 TEST_CASE("a listed server stays unused after its departure is forgotten",
@@ -135,8 +135,8 @@
   leaving.isLeaving = true;
   const TimePoint now = Now();
   pool.OnNotice(listed[0].name, leaving, now);
-  pool.Tend(now);
-  const TimePoint late = now + LeavingServers::kMemory;
+  pool.RunMaintenance(now);
+  const TimePoint late = now + LeavingServers::kRetention;
   pool.OnNotice(listed[1].name, leaving, late);
   pool.SetInstances(listed);
   CHECK(pool.Acquire(listed[0].name, {}, late) == nullptr);
@@ -159,7 +159,7 @@
   PeerDigest digest;
   digest.gateway = InstanceName("g2");
   digest.leaving = { { instance.name, milliseconds(10) } };
-  pool.Hear(digest, now);
+  pool.ApplyDigest(digest, now);
   pool.SetInstances({ &instance, 1 });
   CHECK(pool.Acquire(instance.name, {}, now) == nullptr);
 }
--- a/test/Placement.cpp
+++ b/test/Placement.cpp
@@ -125,7 +125,7 @@
   servers[1].work.PrefillAt(0) = 0;
   CHECK(Chosen(servers, interactive) == "reads");
   // All servers for long prompts are ejected.
-  servers[1].standing = Standing::Ejected;
+  servers[1].healthState = Standing::Ejected;
   CHECK(Chosen(servers, longDemand) == "kept");
   // If only reserved servers are left, a long prompt uses them.
   servers.pop_back();
@@ -219,7 +219,7 @@
   pool.Work().AddOwn(InstanceName("e0"), work);
   const std::vector<WorkLine> others{ { InstanceName("e1"), work } };
   pool.Work().SetPeer(InstanceName("g2"), others, now);
-  pool.Tend(now);
+  pool.RunMaintenance(now);
   CHECK(pool.ReservedCount() == 4);
 }
 
--- a/test/Placer.cpp
+++ b/test/Placer.cpp
@@ -87,7 +87,7 @@
   CHECK_FALSE(
     CacheFetchPolicy::Create(false)->SourceFor(servers, 0, random).has_value());
   // An ejected server may not answer.
-  servers[2].standing = Standing::Ejected;
+  servers[2].healthState = Standing::Ejected;
   CHECK(SourceOf(servers) == "some");
   // A transfer takes longer than the prefill of so few tokens.
   servers[1].cachedTokens = 600;
@@ -140,12 +140,12 @@
   std::vector<DirectCandidate> servers{ Server("e", 0) };
   const auto inTime = Placed(servers, Request(demand));
   CHECK(inTime->timeliness == Timeliness::InTime);
-  CHECK(inTime->place == 4);
+  CHECK(inTime->priority == 4);
   CHECK(inTime->work.prefillTokens[4] == 9000);
   servers[0].work.PrefillAt(4) = 6000;
   const auto late = Placed(servers, Request(demand));
   CHECK(late->timeliness == Timeliness::Late);
-  CHECK(late->place == 5);
+  CHECK(late->priority == 5);
   CHECK(late->work.prefillTokens[5] == 9000);
   // Late prompts are not ahead of those that can be in time.
   servers[0].work = {};
@@ -161,7 +161,7 @@
   CHECK(Placed(servers, again)->timeliness == Timeliness::Late);
   // An answer that has begun would pause while others overtake it.
   again.hasBegun = true;
-  CHECK(Placed(servers, again)->place == 4);
+  CHECK(Placed(servers, again)->priority == 4);
 }
 
 TEST_CASE("a prompt is refused sooner if late ones are not overtaken", "[late]")
@@ -171,7 +171,7 @@
   servers[0].work.PrefillAt(4) = 16'000;
   const auto placed = Placed(servers, Request(demand), { .lateLast = false });
   CHECK(placed->timeliness == Timeliness::InTime);
-  CHECK(placed->place == 4);
+  CHECK(placed->priority == 4);
   servers[0].work.PrefillAt(4) = 20'000;
   CHECK(Placed(servers, Request(demand), { .lateLast = false })->timeliness ==
         Timeliness::Hopeless);
--- a/test/PlatformAdapter.cpp
+++ b/test/PlatformAdapter.cpp
@@ -254,7 +254,7 @@
   BackendOrder order;
   order.server = InstanceName("e1");
   order.timeLeft = milliseconds(900);
-  order.place = 12;
+  order.priority = 12;
   const HttpRequest first = dialect->Compose(request, order);
   CHECK(FindHeader(first.headers, "last-event-id") == "3");
   CHECK(FindHeader(first.headers, "x-other") == "kept");
--- a/test/QuarantineKeeper.cpp
+++ b/test/QuarantineKeeper.cpp
@@ -36,7 +36,7 @@
 TEST_CASE("a quarantine is stored under a lease and read back", "[quarantine]")
 {
   Setup setup;
-  setup.quarantines.Keep({ 0xab, 3, false, seconds(60) });
+  setup.quarantines.Persist({ 0xab, 3, false, seconds(60) });
   REQUIRE(setup.Until([&] { return setup.store.ValueOf(kKey) == "3"; }));
   CHECK(setup.store.GrantedLeases() == 1);
   setup.quarantines.Start();
@@ -50,8 +50,8 @@
 TEST_CASE("a lifted quarantine replaces the stored one", "[quarantine]")
 {
   Setup setup;
-  setup.quarantines.Keep({ 0xab, 3, false, seconds(60) });
-  setup.quarantines.Keep({ 0xab, 3, true, seconds(0) });
+  setup.quarantines.Persist({ 0xab, 3, false, seconds(60) });
+  setup.quarantines.Persist({ 0xab, 3, true, seconds(0) });
   REQUIRE(setup.Until([&] { return setup.store.ValueOf(kKey) == "3 lifted"; }));
   setup.Pass(milliseconds(50));
   setup.quarantines.Start();
@@ -68,7 +68,7 @@
 {
   Setup setup;
   setup.store.mode = FakeStore::Mode::Down;
-  setup.quarantines.Keep({ 0xab, 1, false, seconds(60) });
+  setup.quarantines.Persist({ 0xab, 1, false, seconds(60) });
   setup.quarantines.Start();
   setup.Pass(milliseconds(2200));
   CHECK(setup.read.empty());
--- a/test/RateModel.cpp
+++ b/test/RateModel.cpp
@@ -44,7 +44,7 @@
   FewHolders(const InstanceName& aSelf, std::span<const InstanceName> aFleet)
     : rates(aSelf, kSettle)
   {
-    this->rates.Holders().SetGateways(aFleet, kStart - kSettle);
+    this->rates.Allocator().SetGateways(aFleet, kStart - kSettle);
   }
   bool MaySend(const InstanceName& aServer,
                std::size_t aCells,
@@ -66,11 +66,11 @@
   }
   std::vector<RateNews> Tell(TimePoint aNow) override
   {
-    return this->rates.Tell(aNow);
+    return this->rates.OutgoingUpdates(aNow);
   }
   void Hear(const RateNews& aUpdate, TimePoint aNow) override
   {
-    this->rates.Hear(aUpdate, aNow);
+    this->rates.OnUpdate(aUpdate, aNow);
   }
 
 private:
--- a/test/RestingServers.cpp
+++ b/test/RestingServers.cpp
@@ -141,5 +141,5 @@
   const TimePoint start = TimePoint{} + seconds(100);
   rests.OnRefused(server, std::chrono::hours(1'000'000), start);
   CHECK_FALSE(rests.MaySend(server, start + std::chrono::minutes(9)));
-  CHECK(rests.MaySend(server, start + ServerRests::kLongest));
+  CHECK(rests.MaySend(server, start + ServerRests::kMaxBackoff));
 }
--- a/test/RoutingHealth.cpp
+++ b/test/RoutingHealth.cpp
@@ -56,11 +56,11 @@
   CHECK(health.Evaluate(kStart + milliseconds(4900), 0.5).empty());
   changes = health.Evaluate(kStart + seconds(5), 0.5);
   REQUIRE(changes.size() == 1);
-  CHECK(health.StandingOf(ServerName(3)) == Standing::OnTrial);
+  CHECK(health.HealthStateOf(ServerName(3)) == Standing::OnTrial);
 
   health.OnStepTime(ServerName(3), milliseconds(30));
   CHECK(health.Evaluate(kStart + seconds(6), 0.5).size() == 1);
-  CHECK(health.StandingOf(ServerName(3)) == Standing::Ejected);
+  CHECK(health.HealthStateOf(ServerName(3)) == Standing::Ejected);
   CHECK(health.Evaluate(kStart + seconds(15), 0.5).empty());
   CHECK(health.Evaluate(kStart + seconds(16), 0.5).size() == 1);
 
@@ -85,7 +85,7 @@
   const auto changes = health.Evaluate(kStart + seconds(1), 1.2);
   REQUIRE(changes.size() == 1);
   CHECK(std::string_view(changes[0].reason) == "needed");
-  CHECK(health.StandingOf(ServerName(0)) == Standing::InService);
+  CHECK(health.HealthStateOf(ServerName(0)) == Standing::InService);
 }
 
 TEST_CASE("A crashed server is ejected at once")
@@ -93,7 +93,7 @@
   HealthTracker health = MakeTracker(3);
   health.OnCrash(ServerName(1));
   REQUIRE(health.Evaluate(kStart, 0.99).size() == 1);
-  CHECK(health.StandingOf(ServerName(1)) == Standing::Ejected);
+  CHECK(health.HealthStateOf(ServerName(1)) == Standing::Ejected);
 }
 
 TEST_CASE("No server is ejected when the whole service slows down")
@@ -134,7 +134,7 @@
     }
   }
   REQUIRE(health.Evaluate(kStart, 0.5).size() == 1);
-  CHECK(health.StandingOf(ServerName(0)) == Standing::Ejected);
+  CHECK(health.HealthStateOf(ServerName(0)) == Standing::Ejected);
 }
 
 TEST_CASE("The ejected share is bounded for any input")
@@ -172,13 +172,13 @@
           now += seconds(4);
       }
       for (const HealthChange& change : health.Evaluate(now, 0.3)) {
-        reported[change.name] = change.standing;
+        reported[change.name] = change.healthState;
       }
       const auto maxUnhealthy = std::max(1.0, 0.3 * static_cast<double>(size));
       RC_ASSERT(static_cast<double>(health.OutCount()) <= maxUnhealthy);
       RC_ASSERT(health.OutCount() < size);
       for (const auto& [changed, state] : reported) {
-        RC_ASSERT(health.StandingOf(changed) == state);
+        RC_ASSERT(health.HealthStateOf(changed) == state);
       }
     }
   });
@@ -193,7 +193,7 @@
     now += seconds(1);
     Fail(health, ServerName(2), 6);
     for (const HealthChange& change : health.Evaluate(now, 0.3)) {
-      if (change.standing == Standing::OnTrial) {
+      if (change.healthState == Standing::OnTrial) {
         CHECK(Between(lastProbe, now) <= seconds(125));
         lastProbe = now;
       }
--- a/test/ServerRates.cpp
+++ b/test/ServerRates.cpp
@@ -29,7 +29,7 @@
                  std::span<const InstanceName> aFleet)
 {
   ServerRates rates(aSelf, kSettle);
-  rates.Holders().SetGateways(aFleet, kStart - 2 * kSettle);
+  rates.Allocator().SetGateways(aFleet, kStart - 2 * kSettle);
   return rates;
 }
 
@@ -54,7 +54,7 @@
   ServerRates rates(InstanceName("g1"), kSettle);
   CHECK_FALSE(rates.OnAnswer(kServer, std::nullopt, kStart));
   CHECK(CountSent(rates, kStart, seconds(1)) == 100);
-  CHECK(rates.Tell(kStart).empty());
+  CHECK(rates.OutgoingUpdates(kStart).empty());
 }
 
 TEST_CASE("a single gateway sends a limited server nearly its rate", "[rates]")
@@ -75,13 +75,13 @@
   rates.OnAnswer(kServer, 2.0, kStart);
   const TimePoint later = kStart + seconds(2);
   // Older than the known response.
-  CHECK_FALSE(rates.Hear({ kServer, std::nullopt, seconds(5) }, later));
+  CHECK_FALSE(rates.OnUpdate({ kServer, std::nullopt, seconds(5) }, later));
   CHECK(rates.IsLimited(kServer));
   // Newer.
-  CHECK(rates.Hear({ kServer, std::nullopt, seconds(1) }, later));
+  CHECK(rates.OnUpdate({ kServer, std::nullopt, seconds(1) }, later));
   CHECK_FALSE(rates.IsLimited(kServer));
   // The first response once more, delayed.
-  CHECK_FALSE(rates.Hear({ kServer, 2.0, seconds(2) }, later));
+  CHECK_FALSE(rates.OnUpdate({ kServer, 2.0, seconds(2) }, later));
   CHECK_FALSE(rates.IsLimited(kServer));
   // A newer response with a limit.
   CHECK(rates.OnAnswer(kServer, 3.0, later));
@@ -94,15 +94,15 @@
 {
   ServerRates rates(InstanceName("g1"), kSettle);
   rates.OnAnswer(kServer, 2.0, kStart);
-  CHECK(rates.Tell(kStart).size() == 1);
+  CHECK(rates.OutgoingUpdates(kStart).size() == 1);
   rates.OnAnswer(kServer, std::nullopt, kStart + seconds(1));
-  CHECK(rates.Tell(kStart + seconds(2)).size() == 1);
+  CHECK(rates.OutgoingUpdates(kStart + seconds(2)).size() == 1);
   const TimePoint late =
     kStart + seconds(1) + 2 * ServerRates::kAnnounceEndedFor;
-  CHECK(rates.Tell(late).empty());
-  rates.Hear({ kServer, 2.0, seconds(60) }, late);
-  REQUIRE(rates.Tell(late).size() == 1);
-  CHECK_FALSE(rates.Tell(late)[0].perSecond.has_value());
+  CHECK(rates.OutgoingUpdates(late).empty());
+  rates.OnUpdate({ kServer, 2.0, seconds(60) }, late);
+  REQUIRE(rates.OutgoingUpdates(late).size() == 1);
+  CHECK_FALSE(rates.OutgoingUpdates(late)[0].perSecond.has_value());
 }
 
 TEST_CASE("a server with rate 0 still gets a request now and then", "[rates]")
@@ -119,7 +119,7 @@
 {
   const auto fleet = Gateways(1);
   ServerRates rates = MakeSettledRates(fleet[0], fleet);
-  rates.Hear({ kServer, std::nan(""), milliseconds(0) }, kStart);
+  rates.OnUpdate({ kServer, std::nan(""), milliseconds(0) }, kStart);
   const std::size_t sent = CountSent(rates, kStart, seconds(120));
   CHECK(sent >= 2);
   CHECK(sent <= 10);
@@ -141,11 +141,11 @@
   ServerRates rates(fleet[0], kSettle);
   rates.OnAnswer(kServer, 100.0, kStart);
   CHECK(CountSent(rates, kStart, seconds(1)) == 0);
-  rates.Holders().SetGateways(fleet, kStart);
+  rates.Allocator().SetGateways(fleet, kStart);
   CHECK(CountSent(rates, kStart, kSettle) == 0);
   CHECK(CountSent(rates, kStart + kSettle, seconds(1)) > 0);
   const TimePoint resumed = kStart + seconds(10);
-  rates.Holders().Distrust(resumed);
+  rates.Allocator().Distrust(resumed);
   CHECK(CountSent(rates, resumed, kSettle) == 0);
   CHECK(CountSent(rates, resumed + kSettle, seconds(1)) > 0);
 }
--- a/test/StoreEra.cpp
+++ b/test/StoreEra.cpp
@@ -140,17 +140,17 @@
   const auto loop = *EventLoop::Create();
   FakeStore store(*loop);
   QuarantineKeeper quarantines(*loop, store, [](const QuarantineVerdict&) {});
-  quarantines.Tend();
+  quarantines.RunMaintenance();
   QuarantineVerdict verdict;
   verdict.request = 7;
   verdict.round = 1;
   verdict.left = seconds(60);
-  quarantines.Keep(verdict);
+  quarantines.Persist(verdict);
   const std::string key =
     fmt::format("{}{}", QuarantineKeeper::kPrefix, FingerprintText(7));
   REQUIRE(
     loop->RunUntil([&] { return !store.ValueOf(key).empty(); }, seconds(2)));
-  quarantines.Tend();
+  quarantines.RunMaintenance();
   store.Rewind({});
   CHECK(store.ValueOf(key).empty());
   bool hasRead = false;
@@ -158,7 +158,7 @@
     store.Range({ .key = "any" },
                 [&](const absl::StatusOr<RangeResult>&) { hasRead = true; });
   REQUIRE(loop->RunUntil([&] { return hasRead; }, seconds(1)));
-  quarantines.Tend();
+  quarantines.RunMaintenance();
   CHECK(
     loop->RunUntil([&] { return !store.ValueOf(key).empty(); }, seconds(2)));
 }
--- a/test/UsageLedger.cpp
+++ b/test/UsageLedger.cpp
@@ -47,22 +47,22 @@
       sender.Count(kWindow, customer);
       ++truth[customer];
       if (*rc::gen::inRange(0, 3) == 0) {
-        sent.push_back(sender.Tell());
+        sent.push_back(sender.OutgoingUpdates());
       }
     }
     for (const auto& update : sent) {
       const auto duplicates = *rc::gen::inRange(0, 3);
       for (int i = 0; i < duplicates; ++i) {
-        receiver.Hear(Source("a"), update);
+        receiver.OnUpdate(Source("a"), update);
       }
     }
-    RC_ASSERT(!receiver.IsWhole(kWindow) ||
+    RC_ASSERT(!receiver.IsComplete(kWindow) ||
               receiver.CountsOf(kWindow) == truth ||
               receiver.CountsOf(kWindow).size() <= truth.size());
     for (const auto& [source, update] : sender.All()) {
-      receiver.Hear(source, update);
+      receiver.OnUpdate(source, update);
     }
-    RC_ASSERT(receiver.IsWhole(kWindow));
+    RC_ASSERT(receiver.IsComplete(kWindow));
     RC_ASSERT(receiver.CountsOf(kWindow) == truth);
   }));
 }
@@ -73,13 +73,13 @@
   UsageLedger receiver(Source("b"));
   sender.Count(kWindow, CustomerOf(1));
   for (int i = 0; i < UsageLedger::kTransmissions; ++i) {
-    static_cast<void>(sender.Tell());
+    static_cast<void>(sender.OutgoingUpdates());
   }
-  const std::vector<UsageNews> bare = sender.Tell();
+  const std::vector<UsageNews> bare = sender.OutgoingUpdates();
   REQUIRE(bare.size() == 1);
   CHECK(bare[0].counts.empty());
-  receiver.Hear(Source("a"), bare);
-  CHECK_FALSE(receiver.IsWhole(kWindow));
+  receiver.OnUpdate(Source("a"), bare);
+  CHECK_FALSE(receiver.IsComplete(kWindow));
 }
 
 // A gateway is killed and restarted: the counts of its previous incarnation are
@@ -91,8 +91,8 @@
   const std::vector<UsageNews> before{
     { kWindow, 5, { { CustomerOf(1), 5 } } }
   };
-  again.Hear(Source("a", 1), before);
-  again.Hear(Source("a", 2), before);
+  again.OnUpdate(Source("a", 1), before);
+  again.OnUpdate(Source("a", 2), before);
   CHECK(again.CountsOf(kWindow).at(CustomerOf(1)) == 6);
 }
 
@@ -102,12 +102,12 @@
   for (std::uint64_t i = 0; i < 2 * UsageLedger::kMaxCountsPerUpdate; ++i) {
     ledger.Count(kWindow, CustomerOf(i));
   }
-  CHECK(ledger.Tell()[0].counts.size() == UsageLedger::kMaxCountsPerUpdate);
+  CHECK(ledger.OutgoingUpdates()[0].counts.size() == UsageLedger::kMaxCountsPerUpdate);
   std::vector<UsageNews> many;
   for (WindowId window = 0; window < 100; ++window) {
     many.push_back({ window, 1, { { CustomerOf(1), 1 } } });
   }
-  ledger.Hear(Source("b"), many);
+  ledger.OnUpdate(Source("b"), many);
   CHECK(ledger.All()[Source("b")].size() == UsageLedger::kMaxWindows);
   ledger.DropBefore(kWindow + 1);
   CHECK(ledger.All().empty());
@@ -121,7 +121,7 @@
   const milliseconds truth(1'790'000'000'000);
   const TimePoint now = At(seconds(5));
   for (int i = 0; i < 4; ++i) {
-    agreement.OnHeard(InstanceName(fmt::format("g{}", i)),
+    agreement.OnClockSample(InstanceName(fmt::format("g{}", i)),
                       truth + milliseconds(i == 0 ? 2000 : i),
                       now);
   }
@@ -151,7 +151,7 @@
     for (int i = 0; i < kCount; ++i) {
       for (int other = 0; other < kCount; ++other) {
         if (other != i && other != 7) {
-          all[i].OnHeard(name(other), other == aHolder, At(aTime));
+          all[i].OnHeartbeat(name(other), other == aHolder, At(aTime));
         }
       }
       candidates += i != 7 && all[i].ShouldAcquire(At(aTime)) ? 1 : 0;
--- a/test/WarmStart.cpp
+++ b/test/WarmStart.cpp
@@ -82,7 +82,7 @@
   CHECK(caches.TokensHeld(server, std::vector<PromptStep>{ { 2, 100 } }) ==
         100);
   CHECK(caches.TokensHeld(server, std::vector<PromptStep>{ { 3, 100 } }) == 0);
-  CHECK(caches.Latest(1)[0].second ==
+  CHECK(caches.MostRecentlyUsed(1)[0].second ==
         std::vector<PromptStep>{ PromptStep{ 1, 100 } });
 
   ReservedServers servers;
--- a/test/support/LoadSimulation.h
+++ b/test/support/LoadSimulation.h
@@ -197,7 +197,7 @@
   {
     if (this->now >= this->nextUpdate) {
       for (const Gateway& gateway : this->gateways) {
-        gateway.pool->Tend(this->now);
+        gateway.pool->RunMaintenance(this->now);
       }
       this->nextUpdate = this->now + kUpdatePeriod;
     }
@@ -218,7 +218,7 @@
       }
       other.pool->Work().SetPeer(aSender.name, lines, this->now);
       for (const Sent& sent : aSender.sent) {
-        other.pool->OnRead(sent.engine, sent.steps);
+        other.pool->OnPrefill(sent.engine, sent.steps);
         other.pool->OnLongPrompt(sent.engine, sent.longTokens, this->now);
       }
     }
@@ -327,7 +327,7 @@
                        prefillTokens,
                        this->kinds[aKind].answerTokens,
                        this->now,
-                       static_cast<int>(aPlacement.place));
+                       static_cast<int>(aPlacement.priority));
     this->requests[this->lastId] = running;
     this->sentByKind[aKind].push_back(this->lastId);
     if (!engine.stepEnds) {
