--- a/dogwoodvale/src/Store/ConfigurationKeeper.h
+++ b/dogwoodvale/src/Store/ConfigurationKeeper.h
@@ -51,7 +51,7 @@
   /// After this long without a response, another peer is tried.
   Duration fetchTimeout = milliseconds(1500);
   /// Minimum time between requests to the same peer, unless its response
-  /// brought new pages.
+  /// made progress.
   Duration retryInterval = seconds(1);
   /// How long a process without a configuration waits for peers before it reads
   /// the store itself; the initial back-off of these reads.
@@ -202,9 +202,9 @@
   std::map<InstanceName, PeerState> peerStates;
   /// The peer of the request in flight; empty if there is none.
   InstanceName fetchPeer;
-  /// Whether the request in flight lists every page held here.
+  /// Whether the request in flight was made with MakeRequest(true).
   bool fetchListsPages = false;
-  /// Whether the next request lists every page held here.
+  /// Whether the next request is to be made with MakeRequest(true).
   bool listPagesNext = false;
   TimePoint pendingSince;
   Epoch pendingEpoch = 0;
--- a/dogwoodvale/src/Store/ConfigurationState.h
+++ b/dogwoodvale/src/Store/ConfigurationState.h
@@ -92,8 +92,9 @@
   /// if it is malformed.
   absl::Status Propose(std::string_view aRootText);
   /// Adds pages to the pending configuration; drops pages that it does not
-  /// lack, and pages whose content does not match their hash. \return the
-  /// number of pages added.
+  /// lack, and pages whose content does not match their hash.
+  ///
+  /// \return the number of pages added.
   std::size_t AddPages(std::span<const Page> aPages);
   bool HasPending() const { return this->pending.has_value(); }
   /// 0 if none is pending.
--- a/dogwoodvale/src/Store/SlotLease.h
+++ b/dogwoodvale/src/Store/SlotLease.h
@@ -17,8 +17,9 @@
 
 /// The era in the bits above the 40 of the revision, as revisions of a later
 /// era may be lower. Stays below 2^53, up to which JSON numbers are exact
-/// integers, for 2^13 eras of 2^40 revisions. \param aCreated the revision that
-/// created the holder's key.
+/// integers, for 2^13 eras of 2^40 revisions.
+///
+/// \param aCreated the revision that created the holder's key.
 FencingToken
 FencingTokenOf(StoreEra aEra, Revision aCreated);
 
--- a/dogwoodvale/src/Store/StoreClient.h
+++ b/dogwoodvale/src/Store/StoreClient.h
@@ -24,8 +24,9 @@
   virtual ~StoreWatchHandler() = default;
   /// All values under the watched prefix: at the start of the watch, and again
   /// whenever changes may have been missed (the store compacted them,
-  /// restarted, or was restored with another history). \param aRevision may be
-  /// lower than an earlier one if the store lost data.
+  /// restarted, or was restored with another history).
+  ///
+  /// \param aRevision may be lower than an earlier one if the store lost data.
   virtual void OnSnapshot(Revision aRevision,
                           std::span<const KeyValue> aValues) = 0;
   /// Changes since the snapshot, in order.
