--- a/bench/RoutingModel.cpp
+++ b/bench/RoutingModel.cpp
@@ -338,7 +338,7 @@
   Entry& entry = this->entries[aEntry];
   for (const HealthChange& change :
        entry.health.Evaluate(this->now, entry.table.MeanLoad())) {
-    entry.table.SetStanding(change.name, change.healthState);
+    entry.table.SetHealthState(change.name, change.healthState);
   }
   this->At(this->now + kHealthPeriod,
            [this, aEntry] { this->EvaluateHealth(aEntry); });
--- a/bench/ServerModel.h
+++ b/bench/ServerModel.h
@@ -417,7 +417,7 @@
   aJob.running = false;
   this->running.erase(aJob.request.id.sequence);
   if (aJob.awaitsToken) {
-    this->limit->OnFinishUnanswered(this->now);
+    this->limit->OnFinishWithoutFirstToken(this->now);
   } else {
     this->limit->OnFinish(this->now);
   }
--- a/dogwoodvale/src/Backpressure/BackpressureNotice.h
+++ b/dogwoodvale/src/Backpressure/BackpressureNotice.h
@@ -17,7 +17,7 @@
   bool isLeaving = false;
   /// The server rejected the request and wants this gateway to send no more
   /// requests for this long.
-  std::optional<Duration> restFor;
+  std::optional<Duration> backoffFor;
   /// A field was present but could not be parsed; it is ignored.
   bool isMalformed = false;
 };
--- a/dogwoodvale/src/Backpressure/LeavingServers.cpp
+++ b/dogwoodvale/src/Backpressure/LeavingServers.cpp
@@ -11,9 +11,9 @@
 }
 
 bool
-LeavingServers::OnUpdate(const LeavingNews& aUpdate, TimePoint aNow)
+LeavingServers::OnUpdate(const LeavingUpdate& aUpdate, TimePoint aNow)
 {
-  if (aUpdate.age >= kTell) {
+  if (aUpdate.age >= kAnnouncePeriod) {
     return false;
   }
   return this->Add(
@@ -39,13 +39,13 @@
   return true;
 }
 
-std::vector<LeavingNews>
+std::vector<LeavingUpdate>
 LeavingServers::OutgoingUpdates(TimePoint aNow) const
 {
-  std::vector<LeavingNews> updates;
+  std::vector<LeavingUpdate> updates;
   for (const auto& [server, at] : this->announcedAt) {
     const Duration age = Between(at, aNow);
-    if (age < kTell && updates.size() < kMaxUpdates) {
+    if (age < kAnnouncePeriod && updates.size() < kMaxUpdates) {
       updates.push_back(
         { server, std::chrono::duration_cast<milliseconds>(age) });
     }
--- a/dogwoodvale/src/Backpressure/LeavingServers.h
+++ b/dogwoodvale/src/Backpressure/LeavingServers.h
@@ -9,13 +9,13 @@
 namespace dogwoodvale {
 
 /// Sent to other gateways about a server that is shutting down.
-struct LeavingNews
+struct LeavingUpdate
 {
   InstanceName server;
   /// Time since the first gateway got the server's announcement.
   milliseconds age{ 0 };
 
-  bool operator==(const LeavingNews&) const = default;
+  bool operator==(const LeavingUpdate&) const = default;
 };
 
 /// Servers that have announced in a response, to this or another gateway, that
@@ -31,12 +31,12 @@
   /// A response announced that the server is leaving.
   /// \return whether this was not known yet.
   bool OnAnswer(const InstanceName& aServer, TimePoint aNow);
-  /// Handles an announcement from another gateway, unless older than kTell.
-  /// \return whether this was not known yet.
-  bool OnUpdate(const LeavingNews& aUpdate, TimePoint aNow);
-  /// The announcements to send to other gateways: those younger than kTell, at
-  /// most kMaxUpdates.
-  std::vector<LeavingNews> OutgoingUpdates(TimePoint aNow) const;
+  /// Handles an announcement from another gateway, unless older than
+  /// kAnnouncePeriod. \return whether this was not known yet.
+  bool OnUpdate(const LeavingUpdate& aUpdate, TimePoint aNow);
+  /// The announcements to send to other gateways: those younger than
+  /// kAnnouncePeriod, at most kMaxUpdates.
+  std::vector<LeavingUpdate> OutgoingUpdates(TimePoint aNow) const;
   bool Contains(const InstanceName& aServer) const;
 
   /// How long a leaving server is remembered. An older copy of a server list
@@ -44,7 +44,7 @@
   static constexpr Duration kRetention = std::chrono::minutes(10);
   /// How long the announcement is sent to other gateways, so that one that
   /// starts in the meantime gets it too.
-  static constexpr Duration kTell = seconds(60);
+  static constexpr Duration kAnnouncePeriod = seconds(60);
   /// Maximum number of servers remembered; the oldest announcement is evicted
   /// first.
   static constexpr std::size_t kMaxServers = 4096;
--- a/dogwoodvale/src/Backpressure/RateHolders.cpp
+++ b/dogwoodvale/src/Backpressure/RateAllocator.cpp
@@ -1,4 +1,4 @@
-#include "RateHolders.h"
+#include "RateAllocator.h"
 
 #include <algorithm>
 #include <utility>
@@ -16,19 +16,19 @@
 double
 TotalBurst(double aPerSecond)
 {
-  return aPerSecond + RateHolders::kSavedBeside;
+  return aPerSecond + RateAllocator::kExtraBurst;
 }
 
 } // namespace
 
-RateHolders::RateHolders(InstanceName aSelf, Duration aSettle)
+RateAllocator::RateAllocator(InstanceName aSelf, Duration aSettle)
   : self(std::move(aSelf))
   , settle(aSettle)
 {
 }
 
 void
-RateHolders::SetGateways(std::span<const InstanceName> aNames, TimePoint aNow)
+RateAllocator::SetGateways(std::span<const InstanceName> aNames, TimePoint aNow)
 {
   std::vector<InstanceName> names(aNames.begin(), aNames.end());
   std::ranges::sort(names);
@@ -37,7 +37,7 @@
     return;
   }
   if (this->memberships.empty()) {
-    this->Distrust(aNow);
+    this->SuspendShares(aNow);
   } else {
     this->memberships.back().replacedAt = aNow;
   }
@@ -46,7 +46,7 @@
 }
 
 void
-RateHolders::Distrust(TimePoint aNow)
+RateAllocator::SuspendShares(TimePoint aNow)
 {
   this->isActive = false;
   this->suspendedUntil = aNow + this->settle;
@@ -54,7 +54,7 @@
 }
 
 std::uint64_t
-RateHolders::Version(TimePoint aNow)
+RateAllocator::Version(TimePoint aNow)
 {
   if (!this->isActive && aNow >= this->suspendedUntil) {
     this->isActive = true;
@@ -70,7 +70,7 @@
 }
 
 std::size_t
-RateHolders::HolderCount(double aPerSecond, std::size_t aGateways)
+RateAllocator::HolderCount(double aPerSecond, std::size_t aGateways)
 {
   const double maxHolders =
     std::min(TotalBurst(aPerSecond), static_cast<double>(aGateways));
@@ -78,9 +78,9 @@
 }
 
 std::vector<InstanceName>
-RateHolders::EligibleGateways(const Membership& aMembership,
-                              const InstanceName& aServer,
-                              std::size_t aCells) const
+RateAllocator::EligibleGateways(const Membership& aMembership,
+                                const InstanceName& aServer,
+                                std::size_t aCells) const
 {
   if (aCells <= 1) {
     return aMembership.gateways;
@@ -95,9 +95,9 @@
 }
 
 RateShare
-RateHolders::ShareOf(const InstanceName& aServer,
-                     double aPerSecond,
-                     std::size_t aCells) const
+RateAllocator::ShareOf(const InstanceName& aServer,
+                       double aPerSecond,
+                       std::size_t aCells) const
 {
   if (!this->isActive) {
     return {};
--- a/dogwoodvale/src/Backpressure/RateHolders.h
+++ b/dogwoodvale/src/Backpressure/RateAllocator.h
@@ -1,5 +1,5 @@
-#ifndef DOGWOODVALE_BACKPRESSURE_RATEHOLDERS_H
-#define DOGWOODVALE_BACKPRESSURE_RATEHOLDERS_H
+#ifndef DOGWOODVALE_BACKPRESSURE_RATEALLOCATOR_H
+#define DOGWOODVALE_BACKPRESSURE_RATEALLOCATOR_H
 
 #include <cstdint>
 #include <span>
@@ -27,24 +27,24 @@
 /// A holder must be able to save up one whole request, since a smaller share
 /// could never be used. The number of holders is therefore bounded by the rate,
 /// not by the size of the fleet. All holders together send a server at most
-/// T * rate + rate + kSavedBeside requests in any T seconds.
+/// T * rate + rate + kExtraBurst requests in any T seconds.
 ///
 /// Gateways learn of a membership change at different times. A gateway gives up
 /// a share as soon as it learns of the change, and takes one only after the
 /// settle time, when all others have learnt of it, so that no share is held
 /// twice.
-class RateHolders
+class RateAllocator
 {
 public:
   /// \param aSettle time within which all gateways learn of a change of
   /// membership.
-  RateHolders(InstanceName aSelf, Duration aSettle);
+  RateAllocator(InstanceName aSelf, Duration aSettle);
 
   /// Sets the gateways of the site, including this one.
   void SetGateways(std::span<const InstanceName> aNames, TimePoint aNow);
   /// The known membership may be out of date, e.g. after the process was
   /// suspended: this gateway holds no shares until the settle time has passed.
-  void Distrust(TimePoint aNow);
+  void SuspendShares(TimePoint aNow);
 
   /// A number that changes whenever a share may have changed. Must be called
   /// before ShareOf() for shares to follow the time.
@@ -59,7 +59,7 @@
 
   /// Requests that all holders together may save up, in addition to those of
   /// one second.
-  static constexpr double kSavedBeside = 4;
+  static constexpr double kExtraBurst = 4;
 
   /// Number of gateways, out of \p aGateways, that hold a share of a rate of
   /// \p aPerSecond requests per second.
--- a/dogwoodvale/src/Backpressure/ServerRests.cpp
+++ b/dogwoodvale/src/Backpressure/ServerBackoffs.cpp
@@ -1,13 +1,13 @@
-#include "ServerRests.h"
+#include "ServerBackoffs.h"
 
 #include <algorithm>
 
 namespace dogwoodvale {
 
 bool
-ServerRests::OnRefused(const InstanceName& aServer,
-                       Duration aBackoff,
-                       TimePoint aNow)
+ServerBackoffs::OnRefused(const InstanceName& aServer,
+                          Duration aBackoff,
+                          TimePoint aNow)
 {
   if (aBackoff <= Duration::zero()) {
     return false;
@@ -23,7 +23,7 @@
 }
 
 void
-ServerRests::OnAnswer(const InstanceName& aServer, TimePoint aNow)
+ServerBackoffs::OnAnswer(const InstanceName& aServer, TimePoint aNow)
 {
   const auto found = this->backoffs.find(aServer);
   if (found != this->backoffs.end() && found->second.endsAt <= aNow) {
@@ -32,28 +32,28 @@
 }
 
 void
-ServerRests::OnSent(const InstanceName& aServer, TimePoint aNow)
+ServerBackoffs::OnSent(const InstanceName& aServer, TimePoint aNow)
 {
   const auto found = this->backoffs.find(aServer);
   if (found != this->backoffs.end()) {
-    found->second.freeAt = aNow + kTrialPatience;
+    found->second.freeAt = aNow + kProbeRetryInterval;
   }
 }
 
 void
-ServerRests::Forget(const InstanceName& aServer)
+ServerBackoffs::Forget(const InstanceName& aServer)
 {
   this->backoffs.erase(aServer);
 }
 
 bool
-ServerRests::MaySend(const InstanceName& aServer, TimePoint aNow) const
+ServerBackoffs::MaySend(const InstanceName& aServer, TimePoint aNow) const
 {
   return this->UntilFree(aServer, aNow) == Duration::zero();
 }
 
 Duration
-ServerRests::UntilFree(const InstanceName& aServer, TimePoint aNow) const
+ServerBackoffs::UntilFree(const InstanceName& aServer, TimePoint aNow) const
 {
   const auto found = this->backoffs.find(aServer);
   return found == this->backoffs.end()
@@ -62,7 +62,7 @@
 }
 
 std::size_t
-ServerRests::RestingCount(TimePoint aNow) const
+ServerBackoffs::BackingOffCount(TimePoint aNow) const
 {
   return static_cast<std::size_t>(
     std::ranges::count_if(this->backoffs, [&](const auto& aItem) {
--- a/dogwoodvale/src/Backpressure/ServerRests.h
+++ b/dogwoodvale/src/Backpressure/ServerBackoffs.h
@@ -1,5 +1,5 @@
-#ifndef DOGWOODVALE_BACKPRESSURE_SERVERRESTS_H
-#define DOGWOODVALE_BACKPRESSURE_SERVERRESTS_H
+#ifndef DOGWOODVALE_BACKPRESSURE_SERVERBACKOFFS_H
+#define DOGWOODVALE_BACKPRESSURE_SERVERBACKOFFS_H
 
 #include <map>
 
@@ -13,7 +13,7 @@
 ///
 /// Only time ends a back-off: a successful response that arrives during it may
 /// belong to a request sent before it began.
-class ServerRests
+class ServerBackoffs
 {
 public:
   /// A response that rejected a request asked for a back-off.
@@ -32,12 +32,12 @@
   /// Time until a request may be sent; zero for a server without a back-off.
   Duration UntilFree(const InstanceName& aServer, TimePoint aNow) const;
   /// Number of servers whose back-off time has not passed.
-  std::size_t RestingCount(TimePoint aNow) const;
+  std::size_t BackingOffCount(TimePoint aNow) const;
 
   /// Maximum back-off; a server that asks for more is probed after this time.
   static constexpr Duration kMaxBackoff = std::chrono::minutes(10);
   /// Time after which the next probe is sent if one gets no response.
-  static constexpr Duration kTrialPatience = milliseconds(250);
+  static constexpr Duration kProbeRetryInterval = milliseconds(250);
 
 private:
   struct Backoff
--- a/dogwoodvale/src/Backpressure/ServerRates.cpp
+++ b/dogwoodvale/src/Backpressure/ServerRates.cpp
@@ -70,7 +70,7 @@
 }
 
 std::optional<RateChange>
-ServerRates::OnUpdate(const RateNews& aUpdate, TimePoint aNow)
+ServerRates::OnUpdate(const RateUpdate& aUpdate, TimePoint aNow)
 {
   const std::optional<double> rate = ClampRate(aUpdate.perSecond);
   const TimePoint answeredAt =
@@ -99,10 +99,10 @@
   return std::nullopt;
 }
 
-std::vector<RateNews>
+std::vector<RateUpdate>
 ServerRates::OutgoingUpdates(TimePoint aNow) const
 {
-  std::vector<std::pair<TimePoint, RateNews>> candidates;
+  std::vector<std::pair<TimePoint, RateUpdate>> candidates;
   for (const auto& [server, entry] : this->entries) {
     if (entry.perSecond || aNow < entry.announceUntil) {
       const auto age = std::chrono::duration_cast<milliseconds>(
@@ -119,7 +119,7 @@
       [](const auto& aCandidate) { return aCandidate.first; });
     candidates.resize(kMaxUpdates);
   }
-  std::vector<RateNews> updates;
+  std::vector<RateUpdate> updates;
   updates.reserve(candidates.size());
   for (auto& [changedAt, update] : candidates) {
     updates.push_back(std::move(update));
@@ -200,9 +200,9 @@
 }
 
 ServerRates::Allowance
-ServerRates::RoomOf(const InstanceName& aServer,
-                    std::size_t aCells,
-                    TimePoint aNow)
+ServerRates::AllowanceOf(const InstanceName& aServer,
+                         std::size_t aCells,
+                         TimePoint aNow)
 {
   Entry* entry = this->FindLimited(aServer, aCells, aNow);
   return entry == nullptr
@@ -211,9 +211,9 @@
 }
 
 Duration
-ServerRates::UntilRoom(const InstanceName& aServer,
-                       std::size_t aCells,
-                       TimePoint aNow)
+ServerRates::UntilAllowed(const InstanceName& aServer,
+                          std::size_t aCells,
+                          TimePoint aNow)
 {
   Entry* entry = this->FindLimited(aServer, aCells, aNow);
   if (entry == nullptr) {
--- a/dogwoodvale/src/Backpressure/ServerRates.h
+++ b/dogwoodvale/src/Backpressure/ServerRates.h
@@ -6,13 +6,13 @@
 #include <span>
 #include <vector>
 
-#include "RateHolders.h"
+#include "RateAllocator.h"
 #include "dogwoodvale/Routing"
 
 namespace dogwoodvale {
 
 /// Sent to other gateways about the rate limit of a server.
-struct RateNews
+struct RateUpdate
 {
   InstanceName server;
   /// Requests per second; nothing if the server has no rate limit any more.
@@ -20,7 +20,7 @@
   /// Time since the response that said so arrived.
   milliseconds age{ 0 };
 
-  bool operator==(const RateNews&) const = default;
+  bool operator==(const RateUpdate&) const = default;
 };
 
 /// A change of a server's rate limit.
@@ -42,7 +42,7 @@
 public:
   ServerRates(InstanceName aSelf, Duration aSettle);
 
-  RateHolders& Allocator() { return this->holders; }
+  RateAllocator& Allocator() { return this->holders; }
 
   /// Handles the headers of a response.
   /// \return the change of the server's limit; nothing if it is unchanged.
@@ -52,17 +52,17 @@
   /// Handles an update from another gateway.
   /// \param aUpdate about a server in this gateway's list.
   /// \return the change of the server's limit; nothing if it is unchanged.
-  std::optional<RateChange> OnUpdate(const RateNews& aUpdate, TimePoint aNow);
+  std::optional<RateChange> OnUpdate(const RateUpdate& aUpdate, TimePoint aNow);
   /// The updates to send to other gateways: the servers with a limit, and those
   /// whose limit has changed or ended recently.
-  std::vector<RateNews> OutgoingUpdates(TimePoint aNow) const;
+  std::vector<RateUpdate> OutgoingUpdates(TimePoint aNow) const;
   /// Removes the server's limit.
   void Forget(const InstanceName& aServer);
 
   bool IsLimited(const InstanceName& aServer) const;
   std::size_t LimitedCount() const;
   /// Whether this gateway may send the server a request now.
-  /// \param aCells see RateHolders::ShareOf().
+  /// \param aCells see RateAllocator::ShareOf().
   bool MaySend(const InstanceName& aServer, std::size_t aCells, TimePoint aNow);
   /// Counts a request sent to the server.
   void OnSent(const InstanceName& aServer, std::size_t aCells, TimePoint aNow);
@@ -76,12 +76,14 @@
     double burst = 0;
   };
   /// Zero for a server without a limit.
-  Allowance RoomOf(const InstanceName& aServer, std::size_t aCells, TimePoint aNow);
+  Allowance AllowanceOf(const InstanceName& aServer,
+                        std::size_t aCells,
+                        TimePoint aNow);
   /// Time until the server accepts another request: from this gateway if it
   /// holds a share of the rate, else from any gateway.
-  Duration UntilRoom(const InstanceName& aServer,
-                     std::size_t aCells,
-                     TimePoint aNow);
+  Duration UntilAllowed(const InstanceName& aServer,
+                        std::size_t aCells,
+                        TimePoint aNow);
 
   /// Limits are clamped to this range, in requests per second. A server that
   /// asks for less than the minimum still gets a request now and then, since
@@ -121,7 +123,7 @@
                      std::size_t aCells,
                      TimePoint aNow);
 
-  RateHolders holders;
+  RateAllocator holders;
   std::map<InstanceName, Entry> entries;
 };
 
--- a/dogwoodvale/src/Control/CommandLine.cpp
+++ b/dogwoodvale/src/Control/CommandLine.cpp
@@ -192,7 +192,7 @@
     // The client gives up by itself, when an answer stands still for too long;
     // one that comes in slowly is waited for.
     const Duration bound =
-      this->callTimeout * (storeOptions.maxReadTries + 1) + kLongestTransfer;
+      this->callTimeout * (storeOptions.maxReadAttempts + 1) + kLongestTransfer;
     this->storeSession =
       std::make_unique<StoreSession>(*this->loop, *this->client, bound);
     this->store = std::make_unique<ConfigurationStore>(*this->storeSession);
--- a/dogwoodvale/src/Duties/DutyElection.cpp
+++ b/dogwoodvale/src/Duties/DutyElection.cpp
@@ -25,7 +25,9 @@
 }
 
 void
-DutyElection::OnHeartbeat(const InstanceName& aProcess, bool aHolds, TimePoint aNow)
+DutyElection::OnHeartbeat(const InstanceName& aProcess,
+                          bool aHolds,
+                          TimePoint aNow)
 {
   this->lastHeartbeats[aProcess] = aNow;
   if (aHolds) {
--- a/dogwoodvale/src/Duties/TimeAgreement.cpp
+++ b/dogwoodvale/src/Duties/TimeAgreement.cpp
@@ -18,8 +18,8 @@
 
 void
 TimeAgreement::OnClockSample(const InstanceName& aProcess,
-                       milliseconds aTimeOfDay,
-                       TimePoint aNow)
+                             milliseconds aTimeOfDay,
+                             TimePoint aNow)
 {
   this->samples[aProcess] = { OffsetOf(aTimeOfDay, aNow), aNow };
   std::erase_if(this->samples, [aNow](const auto& aItem) {
@@ -28,7 +28,7 @@
 }
 
 milliseconds
-TimeAgreement::TrueTime(milliseconds aOwnTimeOfDay, TimePoint aNow) const
+TimeAgreement::AgreedTime(milliseconds aOwnTimeOfDay, TimePoint aNow) const
 {
   std::vector<Duration> offsets{ OffsetOf(aOwnTimeOfDay, aNow) };
   for (const auto& [process, sample] : this->samples) {
--- a/dogwoodvale/src/Duties/TimeAgreement.h
+++ b/dogwoodvale/src/Duties/TimeAgreement.h
@@ -17,12 +17,12 @@
 public:
   /// Another process reported \p aTimeOfDay as its clock's time since 1970.
   void OnClockSample(const InstanceName& aProcess,
-               milliseconds aTimeOfDay,
-               TimePoint aNow);
+                     milliseconds aTimeOfDay,
+                     TimePoint aNow);
   /// \return the median time since 1970; of an even number of clocks the lower
   /// of the two middle ones.
   /// \param aOwnTimeOfDay this process's clock, counted as one sample.
-  milliseconds TrueTime(milliseconds aOwnTimeOfDay, TimePoint aNow) const;
+  milliseconds AgreedTime(milliseconds aOwnTimeOfDay, TimePoint aNow) const;
 
   /// Samples older than this are ignored.
   static constexpr Duration kSampleTimeToLive = seconds(3);
--- a/dogwoodvale/src/Duties/UsageLedger.cpp
+++ b/dogwoodvale/src/Duties/UsageLedger.cpp
@@ -20,10 +20,10 @@
   this->pendingUpdates[{ aWindow, aCustomer }] = kTransmissions;
 }
 
-std::vector<UsageNews>
+std::vector<UsageUpdate>
 UsageLedger::OutgoingUpdates()
 {
-  std::vector<UsageNews> news;
+  std::vector<UsageUpdate> news;
   const auto own = this->sources.find(this->self);
   if (own == this->sources.end()) {
     return news;
@@ -44,7 +44,7 @@
 }
 
 void
-UsageLedger::Merge(Windows& aWindows, const UsageNews& aNews)
+UsageLedger::Merge(Windows& aWindows, const UsageUpdate& aNews)
 {
   Counted& counted = aWindows[aNews.window];
   counted.total = std::max(counted.total, aNews.total);
@@ -64,7 +64,8 @@
 }
 
 void
-UsageLedger::OnUpdate(const UsageSource& aSource, std::span<const UsageNews> aNews)
+UsageLedger::OnUpdate(const UsageSource& aSource,
+                      std::span<const UsageUpdate> aNews)
 {
   // Other processes' copies of this process's counts are never newer than its
   // own.
@@ -72,7 +73,7 @@
     return;
   }
   Windows& windows = this->sources[aSource];
-  for (const UsageNews& news : aNews) {
+  for (const UsageUpdate& news : aNews) {
     Merge(windows, news);
   }
 }
@@ -103,10 +104,10 @@
   return sum;
 }
 
-std::map<UsageSource, std::vector<UsageNews>>
+std::map<UsageSource, std::vector<UsageUpdate>>
 UsageLedger::All() const
 {
-  std::map<UsageSource, std::vector<UsageNews>> all;
+  std::map<UsageSource, std::vector<UsageUpdate>> all;
   for (const auto& [source, windows] : this->sources) {
     for (const auto& [window, counted] : windows) {
       all[source].push_back({ window, counted.total, counted.counts });
--- a/dogwoodvale/src/Duties/UsageLedger.h
+++ b/dogwoodvale/src/Duties/UsageLedger.h
@@ -21,13 +21,13 @@
 
 /// A source's cumulative counts for one window: the total over all customers,
 /// and the counts of some customers.
-struct UsageNews
+struct UsageUpdate
 {
   WindowId window = 0;
   std::uint64_t total = 0;
   UsageCounts counts;
 
-  bool operator==(const UsageNews&) const = default;
+  bool operator==(const UsageUpdate&) const = default;
 };
 
 /// Aggregates the usage counts of all processes.
@@ -44,16 +44,16 @@
   void Count(WindowId aWindow, const CustomerName& aCustomer);
   /// This process's counts to send to the others: for each window held, the
   /// total and the recently changed counts.
-  std::vector<UsageNews> OutgoingUpdates();
+  std::vector<UsageUpdate> OutgoingUpdates();
   /// Merges the updates of another source; this process's own are ignored.
-  void OnUpdate(const UsageSource& aSource, std::span<const UsageNews> aNews);
+  void OnUpdate(const UsageSource& aSource, std::span<const UsageUpdate> aNews);
 
   /// Whether, for each source, the received counts add up to its total.
   bool IsComplete(WindowId aWindow) const;
   /// The received counts, summed over all sources.
   UsageCounts CountsOf(WindowId aWindow) const;
   /// All counts, to synchronise a process that missed updates.
-  std::map<UsageSource, std::vector<UsageNews>> All() const;
+  std::map<UsageSource, std::vector<UsageUpdate>> All() const;
   /// Drops all windows before \p aWindow.
   void DropBefore(WindowId aWindow);
 
@@ -76,7 +76,7 @@
   };
   using Windows = std::map<WindowId, Counted>;
 
-  static void Merge(Windows& aWindows, const UsageNews& aNews);
+  static void Merge(Windows& aWindows, const UsageUpdate& aNews);
 
   UsageSource self;
   std::map<UsageSource, Windows> sources;
--- a/dogwoodvale/src/Duties/UsageReporter.cpp
+++ b/dogwoodvale/src/Duties/UsageReporter.cpp
@@ -36,8 +36,8 @@
 
 void
 UsageReporter::OnHeartbeat(const InstanceName& aProcess,
-                       bool aHolds,
-                       TimePoint aNow)
+                           bool aHolds,
+                           TimePoint aNow)
 {
   this->election.OnHeartbeat(aProcess, aHolds, aNow);
 }
@@ -50,11 +50,11 @@
 
 void
 UsageReporter::RunMaintenance(TimePoint aNow,
-                    milliseconds aAgreedTime,
-                    bool aMayAcquire,
-                    const UsageView& aView)
+                              milliseconds aAgreedTime,
+                              bool aMayAcquire,
+                              const UsageView& aView)
 {
-  this->trueTime = aAgreedTime;
+  this->agreedTime = aAgreedTime;
   if (this->stopped) {
     return;
   }
@@ -193,7 +193,7 @@
       "reason",
       aStep.reason,
       "late_ms",
-      (this->trueTime - this->options.schedule.EndOf(aStep.window)).count());
+      (this->agreedTime - this->options.schedule.EndOf(aStep.window)).count());
 }
 
 void
@@ -213,8 +213,8 @@
       "fencing",
       this->lease.Fencing(),
       "late_ms",
-      (this->trueTime - this->options.schedule.EndOf(aWindow)).count());
-  this->plan.OnSent(aWindow, aVerdict, this->trueTime);
+      (this->agreedTime - this->options.schedule.EndOf(aWindow)).count());
+  this->plan.OnSent(aWindow, aVerdict, this->agreedTime);
   if (aVerdict != ReportVerdict::Failed) {
     this->failingSince.reset();
   } else if (!this->failingSince) {
--- a/dogwoodvale/src/Duties/UsageReporter.h
+++ b/dogwoodvale/src/Duties/UsageReporter.h
@@ -35,9 +35,9 @@
   /// \param aAgreedTime agreed time since 1970, see TimeAgreement.
   /// \param aMayAcquire whether this process is eligible for the duty.
   void RunMaintenance(TimePoint aNow,
-            milliseconds aAgreedTime,
-            bool aMayAcquire,
-            const UsageView& aView);
+                      milliseconds aAgreedTime,
+                      bool aMayAcquire,
+                      const UsageView& aView);
   /// Hands the duty over, for a planned stop.
   void Stop();
 
@@ -87,7 +87,7 @@
   std::unique_ptr<StoreCall> call;
   /// Start of the current run of failed reports.
   std::optional<TimePoint> failingSince;
-  milliseconds trueTime{ 0 };
+  milliseconds agreedTime{ 0 };
   bool stopped = false;
 };
 
--- a/dogwoodvale/src/Entry/CallerRequest.cpp
+++ b/dogwoodvale/src/Entry/CallerRequest.cpp
@@ -185,7 +185,7 @@
   this->GiveUp({ ErrorCode::StoreUnavailable,
                  Disposition::NotRun,
                  "the key could not be claimed",
-                 SpreadRetryAfter(seconds(1), this->host.Random()) });
+                 JitteredRetryAfter(seconds(1), this->host.Random()) });
 }
 
 Duration
@@ -227,13 +227,13 @@
     const std::optional<InstanceName> server =
       this->host.Servers().Choose(this->resolved.service, choice);
     if (!server) {
-      this->GiveUp(
-        this->outcome.attempts > 0
-          ? this->pendingError
-          : RequestError{ ErrorCode::NoBackendServer,
-                          Disposition::NotRun,
-                          "no backend server takes work",
-                          SpreadRetryAfter(seconds(1), this->host.Random()) });
+      this->GiveUp(this->outcome.attempts > 0
+                     ? this->pendingError
+                     : RequestError{
+                         ErrorCode::NoBackendServer,
+                         Disposition::NotRun,
+                         "no backend server takes work",
+                         JitteredRetryAfter(seconds(1), this->host.Random()) });
       return;
     }
     if (this->SendTo(*server)) {
@@ -425,8 +425,8 @@
 CallerRequest::OnFailed(const Failed& aFailed)
 {
   this->running->attempt.OnWriting();
-  this->running->attempt.OnSidecarSays(this->running->attempt.Target(),
-                                       aFailed.disposition);
+  this->running->attempt.OnDispositionReported(this->running->attempt.Target(),
+                                               aFailed.disposition);
   this->host.Servers().OnLoad(
     this->resolved.service, this->running->server, aFailed.load);
   if (aFailed.early && this->refusalsLeft > 0) {
@@ -554,7 +554,7 @@
     return;
   }
   if (aWord) {
-    this->unclear->OnSidecarSays(this->unclear->Target(), *aWord);
+    this->unclear->OnDispositionReported(this->unclear->Target(), *aWord);
   } else {
     this->unclear->OnProbeFailed();
   }
@@ -585,7 +585,7 @@
   RetryAllowance allowance;
   allowance.hasBudget = budget.Available(now) >= cost;
   allowance.deadlineLeft = this->BudgetLeft(now);
-  allowance.leastUseful = kLeastUseful;
+  allowance.minUsefulTime = kLeastUseful;
   allowance.attempts = static_cast<std::uint32_t>(
     this->outcome.attempts - this->outcome.hops - this->outcome.preemptions);
   allowance.maxAttempts =
@@ -627,7 +627,7 @@
   RequestError error{ ErrorCode::DeadlineExceeded,
                       Disposition::NotRun,
                       "the class's budget is spent",
-                      SpreadRetryAfter(seconds(1), this->host.Random()) };
+                      JitteredRetryAfter(seconds(1), this->host.Random()) };
   if (!this->running) {
     error.disposition = this->unclear ? Disposition::MayHaveRun
                         : this->outcome.attempts > 0
--- a/dogwoodvale/src/Entry/ClaimStore.cpp
+++ b/dogwoodvale/src/Entry/ClaimStore.cpp
@@ -124,7 +124,7 @@
     aError.detail = "Idempotency-Key is longer than 256 bytes";
     return nullptr;
   }
-  aError.retryAfter = SpreadRetryAfter(seconds(1), this->random);
+  aError.retryAfter = JitteredRetryAfter(seconds(1), this->random);
   if (this->store == nullptr) {
     aError.code = ErrorCode::StoreUnavailable;
     aError.detail = "no store to claim the key in";
--- a/dogwoodvale/src/Entry/ConfigurationSync.h
+++ b/dogwoodvale/src/Entry/ConfigurationSync.h
@@ -19,7 +19,7 @@
   ~ConfigurationSync() override;
 
   /// \pre called once, before anything else.
-  void SetKeeper(ConfigurationKeeper& aKeeper) { this->keeper = &aKeeper; }
+  void SetKeeper(ConfigurationManager& aKeeper) { this->keeper = &aKeeper; }
 
   bool Fetch(const InstanceName& aPeer,
              const ConfigurationRequest& aRequest) override;
@@ -35,7 +35,7 @@
 
   EventLoop& loop;
   Fleet& servers;
-  ConfigurationKeeper* keeper = nullptr;
+  ConfigurationManager* keeper = nullptr;
   absl::flat_hash_map<InstanceName, std::unique_ptr<FetchStream>> fetches;
   absl::flat_hash_map<InstanceName, std::unique_ptr<OfferStream>> offers;
   /// Ended inside their own callback.
--- a/dogwoodvale/src/Entry/Entry.cpp
+++ b/dogwoodvale/src/Entry/Entry.cpp
@@ -228,7 +228,7 @@
                       { ErrorCode::NotReady,
                         Disposition::NotRun,
                         "no configuration yet",
-                        SpreadRetryAfter(seconds(1), this->random) },
+                        JitteredRetryAfter(seconds(1), this->random) },
                       id);
     return;
   }
--- a/dogwoodvale/src/Entry/Fleet.cpp
+++ b/dogwoodvale/src/Entry/Fleet.cpp
@@ -134,7 +134,7 @@
   // Leaving ones are looked at now and then, since only a hello shows that a
   // new incarnation stands there.
   const std::vector<InstanceName> trials =
-    this->directory.DueForTrial(aService, aNow);
+    this->directory.DueForProbe(aService, aNow);
   wanted.insert(wanted.end(), trials.begin(), trials.end());
   std::vector<InstanceName> gone;
   for (const auto& [name, link] : this->links) {
@@ -196,9 +196,9 @@
   ServiceState& state = this->StateOf(aService);
   for (const HealthChange& change :
        state.health.Evaluate(aNow, state.table.MeanLoad())) {
-    state.table.SetStanding(change.name, change.healthState);
-    Log(change.healthState == Standing::Ejected ? LogLevel::Warning
-                                             : LogLevel::Info,
+    state.table.SetHealthState(change.name, change.healthState);
+    Log(change.healthState == HealthState::Ejected ? LogLevel::Warning
+                                                   : LogLevel::Info,
         "backend_standing",
         "server",
         change.name.Value(),
@@ -362,13 +362,13 @@
     Json::Value one;
     one["name"] = service.Value();
     one["usable"] = Json::UInt64(state.table.UsableCount());
-    one["ejected"] = Json::UInt64(state.health.OutCount());
+    one["ejected"] = Json::UInt64(state.health.UnhealthyCount());
     one["backend_servers"] = Json::arrayValue;
     for (const Backend& backend : state.table.All()) {
       Json::Value server;
       server["instance"] = backend.name.Value();
       server["available"] = backend.available;
-      server["ejected"] = backend.healthState == Standing::Ejected;
+      server["ejected"] = backend.healthState == HealthState::Ejected;
       server["in_flight"] = backend.inFlight;
       server["running"] = backend.report.running;
       server["queued"] = backend.report.queued;
--- a/dogwoodvale/src/Gateway/Admission.cpp
+++ b/dogwoodvale/src/Gateway/Admission.cpp
@@ -23,7 +23,7 @@
 DemandOf(const AdmittedRequest& aRequest, BackendPool& aPool)
 {
   const ServiceName& service = aRequest.service->name;
-  PrefillFlow& flow = aPool.FlowOf(service);
+  PrefillStatistics& flow = aPool.FlowOf(service);
   PauseProfile& pauses = aPool.PausesOf(service);
   const Duration bound = aRequest.route->targetGap;
   DirectDemand demand;
@@ -38,7 +38,7 @@
   demand.rank = aPool.Decisions().rankedReading ? aRequest.priorities.inTime
                                                 : BackendWork::kRanks - 1;
   if (aPool.Decisions().rankedTurns) {
-    demand.turnRank = aRequest.priorities.inTime;
+    demand.queueRank = aRequest.priorities.inTime;
   }
   demand.isInteractive =
     aPool.Decisions().reservedServers && pauses.IsInteractive(bound);
@@ -46,15 +46,16 @@
                     ? !demand.isInteractive
                     : flow.IsLong(demand.promptTokens);
   demand.tokensPerTarget = flow.TokensIn(aRequest.route->target);
-  demand.tokensPerTurn = flow.TokensPerTurn(aRequest.service->slots)
-                           .value_or(DirectDemand::kGuessedTokensPerTurn);
+  demand.tokensPerQueuePosition =
+    flow.TokensPerQueuePosition(aRequest.service->slots)
+      .value_or(DirectDemand::kDefaultTokensPerQueuePosition);
   return demand;
 }
 
 } // namespace
 
 RequestError
-RefusalWhileBehind(const RequestError& aError)
+ErrorWhileOutdated(const RequestError& aError)
 {
   const bool mayBeOutdated = aError.code == ErrorCode::UnknownRoute ||
                              aError.code == ErrorCode::Unauthorized;
@@ -66,7 +67,7 @@
 
 std::variant<AdmittedRequest, RequestError>
 AdmitRequest(const HttpRequest& aRequest,
-             CallerEnvelope aCallerMetadata,
+             CallerRequestMetadata aCallerMetadata,
              std::shared_ptr<const RouteTable> aRoutes,
              BackendPool& aPool,
              std::mt19937_64& aRandom)
@@ -101,7 +102,7 @@
   }
   admitted.rank = admitted.routes->RankOf(*admitted.route, customer, service);
   admitted.priorities =
-    PlacesOf(admitted.rank, admitted.routes->RankCount(service));
+    PriorityLevelsOf(admitted.rank, admitted.routes->RankCount(service));
   if (admitted.route->hasPrompts) {
     admitted.demand = DemandOf(admitted, aPool);
   }
--- a/dogwoodvale/src/Gateway/Admission.h
+++ b/dogwoodvale/src/Gateway/Admission.h
@@ -22,8 +22,8 @@
   /// Priority rank, see RouteTable::RankOf().
   std::uint32_t rank = 0;
   /// The priorities at a backend server that follow from the rank.
-  OrderPlaces priorities;
-  CallerEnvelope callerMetadata;
+  PriorityLevels priorities;
+  CallerRequestMetadata callerMetadata;
   /// The same for every retry of the caller, at any gateway.
   RequestFingerprint fingerprint = 0;
   DirectDemand demand;
@@ -34,7 +34,7 @@
 /// request is then refused as retryable, since it may well be allowed.
 std::variant<AdmittedRequest, RequestError>
 AdmitRequest(const HttpRequest& aRequest,
-             CallerEnvelope aCallerMetadata,
+             CallerRequestMetadata aCallerMetadata,
              std::shared_ptr<const RouteTable> aRoutes,
              BackendPool& aPool,
              std::mt19937_64& aRandom);
@@ -43,7 +43,7 @@
 /// newer configuration than its own: an unknown route or key may be defined
 /// there, so these errors become retryable ones.
 RequestError
-RefusalWhileBehind(const RequestError& aError);
+ErrorWhileOutdated(const RequestError& aError);
 
 } // namespace dogwoodvale
 
--- a/dogwoodvale/src/Gateway/AttemptHealth.cpp
+++ b/dogwoodvale/src/Gateway/AttemptHealth.cpp
@@ -6,7 +6,7 @@
 AttemptHealth::OnFirstResponse(Duration aLatency,
                                std::uint32_t aPromptTokens,
                                std::uint64_t aPrefillTokens,
-                               PrefillFlow& aFlow) const
+                               PrefillStatistics& aFlow) const
 {
   const std::optional<Duration> sample =
     aPromptTokens == 0
--- a/dogwoodvale/src/Gateway/AttemptHealth.h
+++ b/dogwoodvale/src/Gateway/AttemptHealth.h
@@ -19,7 +19,7 @@
   void OnFirstResponse(Duration aLatency,
                        std::uint32_t aPromptTokens,
                        std::uint64_t aPrefillTokens,
-                       PrefillFlow& aFlow) const;
+                       PrefillStatistics& aFlow) const;
   /// The server has served the request to its end.
   void OnAnswered() const;
   /// \param aHadFreeSlot the server had fewer known requests than slots.
--- a/dogwoodvale/src/Gateway/AttemptPatience.cpp
+++ b/dogwoodvale/src/Gateway/AttemptTimeouts.cpp
@@ -1,4 +1,4 @@
-#include "AttemptPatience.h"
+#include "AttemptTimeouts.h"
 
 #include <algorithm>
 
@@ -18,14 +18,14 @@
 
 } // namespace
 
-AttemptPatience
-PatienceFor(const HostRoute& aRoute, std::uint32_t aAttempts, Duration aLeft)
+AttemptTimeouts
+TimeoutsFor(const HostRoute& aRoute, std::uint32_t aAttempts, Duration aLeft)
 {
   const bool hasNext = aRoute.MayRepeat() && aAttempts + 1 < aRoute.maxAttempts;
   if (!hasNext) {
     return {};
   }
-  AttemptPatience timeouts;
+  AttemptTimeouts timeouts;
   timeouts.firstResponse = std::min(
     std::max(kMinTimeout, kFirstResponseTargets * aRoute.target), aLeft / 2);
   timeouts.betweenEvents =
--- a/dogwoodvale/src/Gateway/AttemptPatience.h
+++ b/dogwoodvale/src/Gateway/AttemptTimeouts.h
@@ -1,5 +1,5 @@
-#ifndef DOGWOODVALE_GATEWAY_ATTEMPTPATIENCE_H
-#define DOGWOODVALE_GATEWAY_ATTEMPTPATIENCE_H
+#ifndef DOGWOODVALE_GATEWAY_ATTEMPTTIMEOUTS_H
+#define DOGWOODVALE_GATEWAY_ATTEMPTTIMEOUTS_H
 
 #include <cstdint>
 
@@ -8,7 +8,7 @@
 namespace dogwoodvale {
 
 /// How long an attempt waits for the server to send something; 0 is no limit.
-struct AttemptPatience
+struct AttemptTimeouts
 {
   /// From sending to the first event of a stream or the end of an answer.
   Duration firstResponse{ 0 };
@@ -24,8 +24,8 @@
 /// giving it up would gain nothing; the request's own deadline still applies.
 /// \param aAttempts attempts started before this one.
 /// \param aLeft time until the request's deadline.
-AttemptPatience
-PatienceFor(const HostRoute& aRoute, std::uint32_t aAttempts, Duration aLeft);
+AttemptTimeouts
+TimeoutsFor(const HostRoute& aRoute, std::uint32_t aAttempts, Duration aLeft);
 
 } // namespace dogwoodvale
 
--- a/dogwoodvale/src/Gateway/BackendPool.cpp
+++ b/dogwoodvale/src/Gateway/BackendPool.cpp
@@ -14,9 +14,9 @@
 MakeHealthSettings()
 {
   HealthSettings settings;
-  settings.failureShare = 0.3;
-  settings.firstEjection = seconds(2);
-  settings.longestEjection = seconds(10);
+  settings.failureThreshold = 0.3;
+  settings.baseEjectionTime = seconds(2);
+  settings.maxEjectionTime = seconds(10);
   return settings;
 }
 
@@ -47,7 +47,7 @@
   std::uint64_t best = 0;
   for (DirectCandidate& candidate : aCandidates) {
     if (!prefix || candidate.isReserved != aDemand.isInteractive ||
-        candidate.healthState != Standing::InService) {
+        candidate.healthState != HealthState::InService) {
       continue;
     }
     const std::uint64_t score = HomeScore(*prefix, candidate.name);
@@ -77,7 +77,7 @@
   client.connectTimeout = this->options.connectTimeout;
   client.silentLinkTimeout = this->options.silentLinkTimeout;
   // The time-outs of a silent server differ by route, so each request sets its
-  // own (AttemptPatience).
+  // own (AttemptTimeouts).
   client.idleTimeout = seconds(3600);
   auto made = BackendClient::Create(this->loop, aInstance.address, client);
   if (!made.ok()) {
@@ -200,7 +200,7 @@
       member.client->CloseIdleConnections();
     }
     if (member.isListed || member.client->OpenConnections() > 0 ||
-        !this->work.Own(it->first).IsNothing()) {
+        !this->work.Own(it->first).IsZero()) {
       ++it;
       continue;
     }
@@ -329,7 +329,7 @@
   }
   ServerRates::Allowance sum;
   for (const DirectCandidate& candidate : aCandidates) {
-    const ServerRates::Allowance room = rates.RoomOf(
+    const ServerRates::Allowance room = rates.AllowanceOf(
       candidate.name, this->CellsOf(this->members.at(candidate.name)), aNow);
     sum.now += room.now;
     sum.burst += room.burst;
@@ -376,8 +376,9 @@
     if (!this->TakesWork(member)) {
       continue;
     }
-    const Standing standing = tracker->second.HealthStateOf(name);
-    const bool isReserved = reservedLeft > 0 && standing == Standing::InService;
+    const HealthState standing = tracker->second.HealthStateOf(name);
+    const bool isReserved =
+      reservedLeft > 0 && standing == HealthState::InService;
     reservedLeft -= isReserved ? 1 : 0;
     if (std::ranges::find(aExcluded, name) != aExcluded.end() ||
         !this->HasConnectionCapacity(
@@ -393,7 +394,8 @@
     candidate.cacheTokens = aService.cacheTokens;
     candidate.healthState = standing;
     candidate.isReserved = isReserved;
-    candidate.cachedTokens = this->caches.TokensHeld(name, aDemand.steps);
+    candidate.cachedTokens =
+      this->caches.CachedPrefixTokens(name, aDemand.steps);
     if (flow != this->flows.end()) {
       candidate.recentLongTokens = flow->second.RecentLongTokens(name, aNow);
     }
@@ -553,7 +555,7 @@
 
 void
 BackendPool::OnPrefill(const InstanceName& aInstance,
-                    std::span<const PromptStep> aSteps)
+                       std::span<const PromptStep> aSteps)
 {
   // Other gateways may report servers that this gateway doesn't have; their
   // entries would never be removed.
@@ -571,12 +573,12 @@
   this->work.RemoveOwn(aInstance, aWork);
 }
 
-std::vector<ServiceLearning>
+std::vector<ServiceEstimates>
 BackendPool::Estimates() const
 {
-  std::vector<ServiceLearning> estimates;
+  std::vector<ServiceEstimates> estimates;
   for (const auto& [service, flow] : this->flows) {
-    ServiceLearning one{ service, flow.Estimates() };
+    ServiceEstimates one{ service, flow.Estimates() };
     const auto servers = this->reserved.find(service);
     if (servers != this->reserved.end()) {
       one.interactivePeak = servers->second.Peak();
@@ -587,9 +589,9 @@
 }
 
 void
-BackendPool::Seed(std::span<const ServiceLearning> aEstimates, TimePoint aNow)
+BackendPool::Seed(std::span<const ServiceEstimates> aEstimates, TimePoint aNow)
 {
-  for (const ServiceLearning& one : aEstimates) {
+  for (const ServiceEstimates& one : aEstimates) {
     this->flows[one.service].Seed(one.reading);
     this->reserved[one.service].Seed(one.interactivePeak, aNow);
   }
--- a/dogwoodvale/src/Gateway/BackendPool.h
+++ b/dogwoodvale/src/Gateway/BackendPool.h
@@ -7,15 +7,15 @@
 #include <optional>
 
 #include "Ports.h"
-#include "ServerNeeds.h"
+#include "ServerBackpressure.h"
 
 namespace dogwoodvale {
 
 /// Estimates that a gateway has measured for a service.
-struct ServiceLearning
+struct ServiceEstimates
 {
   ServiceName service;
-  PrefillLearning reading;
+  PrefillEstimates reading;
   /// See ReservedServers::Peak().
   double interactivePeak = 0;
 };
@@ -66,7 +66,7 @@
   /// The prompt, sent by this gateway or another, enters the cache of the
   /// instance. No-op for an instance that the pool does not have.
   void OnPrefill(const InstanceName& aInstance,
-              std::span<const PromptStep> aSteps);
+                 std::span<const PromptStep> aSteps);
   /// A long prompt was sent to the instance, by this gateway or another.
   void OnLongPrompt(const InstanceName& aInstance,
                     std::uint32_t aTokens,
@@ -86,7 +86,7 @@
   /// according to the servers' back-pressure notices; 0 if one accepts it now
   /// or the service has no server that accepts work.
   Duration UntilFree(const ServiceName& aService, TimePoint aNow);
-  ServerNeeds& Needs() { return this->needs; }
+  ServerBackpressure& Needs() { return this->needs; }
   /// The address of the instance; nothing if the pool does not have it.
   std::optional<SocketAddress> AddressOf(const InstanceName& aInstance) const;
   /// Whether the instance is on the newest list.
@@ -106,12 +106,12 @@
   Occupancy OccupancyOf(const ServiceName& aService) const;
 
   /// The estimates of all services, for the warm start of a gateway.
-  std::vector<ServiceLearning> Estimates() const;
+  std::vector<ServiceEstimates> Estimates() const;
   /// Takes over estimates of another gateway, or of this one before its
   /// restart; values measured here are kept.
-  void Seed(std::span<const ServiceLearning> aEstimates, TimePoint aNow);
+  void Seed(std::span<const ServiceEstimates> aEstimates, TimePoint aNow);
   /// Takes over the expected cache content of a server, see
-  /// CacheBelief::Seed(). \return whether the pool has the server.
+  /// CacheTracker::Seed(). \return whether the pool has the server.
   bool SeedCache(const InstanceName& aInstance,
                  std::span<const PromptStep> aSteps);
 
@@ -138,12 +138,12 @@
   {
     return this->pauses[aService];
   }
-  PrefillFlow& FlowOf(const ServiceName& aService)
+  PrefillStatistics& FlowOf(const ServiceName& aService)
   {
     return this->flows[aService];
   }
   WorkTable& Work() { return this->work; }
-  const CacheBelief& Caches() const { return this->caches; }
+  const CacheTracker& Caches() const { return this->caches; }
   bool HasAny() const { return !this->members.empty(); }
   std::size_t Count() const { return this->members.size(); }
   /// Servers reserved for interactive requests, of all services.
@@ -212,13 +212,13 @@
   std::map<InstanceName, Member> members;
   absl::flat_hash_map<ServiceName, ServiceServers> byService;
   std::map<ServiceName, HealthTracker> health;
-  std::map<ServiceName, PrefillFlow> flows;
+  std::map<ServiceName, PrefillStatistics> flows;
   std::map<ServiceName, PauseProfile> pauses;
   std::map<ServiceName, ReservedServers> reserved;
-  ServerNeeds needs;
+  ServerBackpressure needs;
   std::map<ServiceName, RankReserve> reserves;
   WorkTable work;
-  CacheBelief caches;
+  CacheTracker caches;
   /// Tokens that fit into the cache of one server.
   std::map<ServiceName, std::uint64_t> cacheTokens;
 };
--- a/dogwoodvale/src/Gateway/CellView.h
+++ b/dogwoodvale/src/Gateway/CellView.h
@@ -4,7 +4,7 @@
 #include <span>
 #include <vector>
 
-#include "DirectoryKeeper.h"
+#include "DirectoryCache.h"
 
 namespace dogwoodvale {
 
--- a/dogwoodvale/src/Gateway/CrashGuard.cpp
+++ b/dogwoodvale/src/Gateway/CrashGuard.cpp
@@ -34,13 +34,13 @@
 CrashGuard::IsQuarantined(RequestFingerprint aRequest) const
 {
   return this->options.isOn &&
-         this->ledger.StatusOf(aRequest, Now()) == CrashStanding::Quarantined;
+         this->ledger.StatusOf(aRequest, Now()) == CrashStatus::Quarantined;
 }
 
 bool
 CrashGuard::IsSuspect(RequestFingerprint aRequest) const
 {
-  return this->ledger.StatusOf(aRequest, Now()) == CrashStanding::Suspect;
+  return this->ledger.StatusOf(aRequest, Now()) == CrashStatus::Suspect;
 }
 
 Duration
@@ -56,10 +56,10 @@
   if (!this->options.isOn) {
     return false;
   }
-  if (aIsNew && this->broken.HasJustBroken(aRequest, now)) {
+  if (aIsNew && this->broken.HasRecentBreak(aRequest, now)) {
     return true;
   }
-  return this->ledger.StatusOf(aRequest, now) == CrashStanding::Suspect &&
+  return this->ledger.StatusOf(aRequest, now) == CrashStatus::Suspect &&
          (this->copies.HasAny(aRequest, now) ||
           this->ledger.IsUndecided(aRequest, now));
 }
@@ -100,7 +100,7 @@
   }
   this->toProbe.push_back(aInstance);
   if (!this->probeTimer.IsPending()) {
-    this->probeTimer.StartOnce(kAskAfter);
+    this->probeTimer.StartOnce(kProbeDelay);
   }
 }
 
@@ -112,7 +112,7 @@
   for (const InstanceName& instance : std::exchange(this->toProbe, {})) {
     const auto onResult = [this, instance](ProbeResult aResult) {
       if (aResult == ProbeResult::Accepted) {
-        this->broken.OnAlive(instance);
+        this->broken.OnServerAlive(instance);
       } else if (aResult == ProbeResult::Refused) {
         this->OnCrashed(instance, "refused");
       }
@@ -142,7 +142,8 @@
 void
 CrashGuard::OnCrashed(const InstanceName& aInstance, const char* aHow)
 {
-  const std::vector<CrashEvidence> runs = this->broken.OnServerExited(aInstance);
+  const std::vector<CrashEvidence> runs =
+    this->broken.OnServerExited(aInstance);
   if (runs.empty()) {
     return;
   }
@@ -206,10 +207,10 @@
     // verdict on its server can be sent: meanwhile other gateways would send
     // their duplicates.
     const bool isInFlight =
-      this->copies.HasOwn(request) || this->broken.HasJustBroken(request, now);
+      this->copies.HasOwn(request) || this->broken.HasRecentBreak(request, now);
     if (isInFlight &&
-        aDigest.suspectsUnderWay.size() < CrashLedger::kMaxUpdateEntries) {
-      aDigest.suspectsUnderWay.push_back(request);
+        aDigest.suspectsInFlight.size() < CrashLedger::kMaxUpdateEntries) {
+      aDigest.suspectsInFlight.push_back(request);
     }
   }
 }
@@ -221,7 +222,8 @@
     return;
   }
   const TimePoint now = Now();
-  this->copies.SetOthers(aDigest.gateway, aDigest.suspectsUnderWay, now);
+  this->copies.SetPeerDuplicates(
+    aDigest.gateway, aDigest.suspectsInFlight, now);
   for (const QuarantineVerdict& verdict : aDigest.crashes.verdicts) {
     if (this->ledger.Take(verdict, now)) {
       this->LogVerdict(verdict.request, aDigest.gateway.Value(), now);
--- a/dogwoodvale/src/Gateway/CrashGuard.h
+++ b/dogwoodvale/src/Gateway/CrashGuard.h
@@ -3,7 +3,7 @@
 
 #include "BackendPool.h"
 #include "PeerDigest.h"
-#include "QuarantineKeeper.h"
+#include "QuarantineStore.h"
 #include "dogwoodvale/Quarantine"
 
 namespace dogwoodvale {
@@ -54,7 +54,7 @@
   /// A server has completed the request.
   void OnAnswered(RequestFingerprint aRequest);
   /// The connection broke before the answer was complete. The server is probed
-  /// after kAskAfter, to see whether it crashed.
+  /// after kProbeDelay, to see whether it crashed.
   void OnBroken(const InstanceName& aInstance,
                 RequestFingerprint aRequest,
                 const BrokenAttempt& aBroken);
@@ -70,12 +70,12 @@
   void RunMaintenance();
 
   const CrashLedger& Ledger() const { return this->ledger; }
-  std::uint64_t ServersEnded() const { return this->crashedCount; }
+  std::uint64_t ServersCrashed() const { return this->crashedCount; }
 
   /// Delay before a server is probed. A process that exits closes its
   /// connections and its listener one by one, so that a probe at once might
   /// still be accepted.
-  static constexpr Duration kAskAfter = milliseconds(50);
+  static constexpr Duration kProbeDelay = milliseconds(50);
 
 private:
   /// Applies a verdict read from the store.
@@ -95,9 +95,9 @@
   BackendPool& pool;
   Options options;
   CrashLedger ledger;
-  BrokenRuns broken;
-  CopiesUnderWay copies;
-  QuarantineKeeper keeper;
+  UnresolvedAttempts broken;
+  InFlightDuplicates copies;
+  QuarantineStore keeper;
   /// Servers to be probed for whether they still accept connections.
   std::vector<InstanceName> toProbe;
   std::uint64_t crashedCount = 0;
--- a/dogwoodvale/src/Gateway/Departures.cpp
+++ b/dogwoodvale/src/Gateway/Departures.cpp
@@ -27,7 +27,7 @@
 }
 
 void
-Departures::DropGhosts(Instances& aRead, TimePoint aNow) const
+Departures::DropDeparted(Instances& aRead, TimePoint aNow) const
 {
   if (aNow >= this->distrustUntil) {
     return;
--- a/dogwoodvale/src/Gateway/Departures.h
+++ b/dogwoodvale/src/Gateway/Departures.h
@@ -20,16 +20,16 @@
   void OnChange(const Instances& aBefore,
                 const Instances& aAfter,
                 TimePoint aNow);
-  /// The store was restored from an older copy: until then, DropGhosts()
+  /// The store was restored from an older copy: until then, DropDeparted()
   /// removes servers that have left.
   void DistrustUntil(TimePoint aUntil) { this->distrustUntil = aUntil; }
   TimePoint DistrustedUntil() const { return this->distrustUntil; }
   /// Removes the servers that have left from a list; does nothing after
   /// DistrustedUntil().
-  void DropGhosts(Instances& aRead, TimePoint aNow) const;
+  void DropDeparted(Instances& aRead, TimePoint aNow) const;
 
   /// An entry that is not renewed expires within this.
-  static constexpr Duration kGhostLife = seconds(6);
+  static constexpr Duration kEntryLifetime = seconds(6);
   /// Greatest supported age of a copy of the store.
   static constexpr Duration kMemory = seconds(120);
   /// Most servers that are remembered; the earliest are evicted first.
--- a/dogwoodvale/src/Gateway/DirectAttempt.cpp
+++ b/dogwoodvale/src/Gateway/DirectAttempt.cpp
@@ -46,7 +46,7 @@
 }
 
 DirectAttempt::DirectAttempt(EventLoop& aLoop,
-                             const BackendDialect& aProtocol,
+                             const BackendProtocol& aProtocol,
                              Plan aPlan,
                              AttemptListener& aListener)
   : protocol(aProtocol)
--- a/dogwoodvale/src/Gateway/DirectAttempt.h
+++ b/dogwoodvale/src/Gateway/DirectAttempt.h
@@ -3,7 +3,7 @@
 
 #include <memory>
 
-#include "AttemptPatience.h"
+#include "AttemptTimeouts.h"
 #include "EventSplitter.h"
 #include "Ports.h"
 #include "dogwoodvale/Quarantine"
@@ -21,7 +21,7 @@
   WrongInstance,
   /// The connection was lost after the request was sent.
   Lost,
-  /// The server sent nothing for longer than AttemptPatience allows.
+  /// The server sent nothing for longer than AttemptTimeouts allows.
   Silent,
   /// The answer is malformed, truncated or not proven to be a backend server's.
   Garbled,
@@ -64,13 +64,13 @@
     bool expectsStream = false;
     /// Id of the last event that the caller has, if a stream is resumed.
     std::optional<std::uint64_t> resumeAfter;
-    AttemptPatience timeouts;
+    AttemptTimeouts timeouts;
     /// A pooled connection that has been idle for longer is not used.
     Duration maxConnectionIdle = Duration::max();
   };
 
   DirectAttempt(EventLoop& aLoop,
-                const BackendDialect& aProtocol,
+                const BackendProtocol& aProtocol,
                 Plan aPlan,
                 AttemptListener& aListener);
 
@@ -102,7 +102,7 @@
   /// Restarts the time-out for the next part of the answer; 0 disables it.
   void RestartTimeout(Duration aTimeout);
 
-  const BackendDialect& protocol;
+  const BackendProtocol& protocol;
   Plan plan;
   AttemptListener& listener;
   EventSplitter splitter;
--- a/dogwoodvale/src/Gateway/DirectoryKeeper.cpp
+++ b/dogwoodvale/src/Gateway/DirectoryCache.cpp
@@ -1,4 +1,4 @@
-#include "DirectoryKeeper.h"
+#include "DirectoryCache.h"
 
 #include <algorithm>
 #include <utility>
@@ -35,11 +35,11 @@
 
 } // namespace
 
-DirectoryKeeper::DirectoryKeeper(EventLoop& aLoop,
-                                 StoreClient& aStore,
-                                 const DirectoryFormat& aFormat,
-                                 Options aOptions,
-                                 DirectoryObserver& aObserver)
+DirectoryCache::DirectoryCache(EventLoop& aLoop,
+                               StoreClient& aStore,
+                               const DirectoryFormat& aFormat,
+                               Options aOptions,
+                               DirectoryObserver& aObserver)
   : store(aStore)
   , format(aFormat)
   , options(std::move(aOptions))
@@ -61,7 +61,7 @@
 }
 
 void
-DirectoryKeeper::Start()
+DirectoryCache::Start()
 {
   this->routes.Start();
   this->ReadInstances();
@@ -69,7 +69,7 @@
 }
 
 void
-DirectoryKeeper::Refresh()
+DirectoryCache::Refresh()
 {
   this->routes.Rearm();
   // A read begun before the suspension would count as fresh when it ends.
@@ -78,7 +78,7 @@
 }
 
 Duration
-DirectoryKeeper::UntilDue(TimePoint aNow) const
+DirectoryCache::UntilDue(TimePoint aNow) const
 {
   if (!this->options.sharesReads || !this->HasInstances() ||
       this->behindSince) {
@@ -86,13 +86,13 @@
   }
   const Duration period = this->options.instanceReadPeriod;
   const auto most = Duration(static_cast<Duration::rep>(
-    kMostPeriods * static_cast<double>(period.count())));
+    kMaxOwnReadPeriods * static_cast<double>(period.count())));
   return std::min(period - this->InstancesAge(aNow),
                   most - Between(this->ownReadAt, aNow));
 }
 
 void
-DirectoryKeeper::ReadIfDue()
+DirectoryCache::ReadIfDue()
 {
   const Duration left = this->UntilDue(Now());
   if (left <= Duration::zero()) {
@@ -103,7 +103,7 @@
 }
 
 void
-DirectoryKeeper::NoteOthersList(const ListStamp& aList, TimePoint aNow)
+DirectoryCache::OnPeerList(const ListStamp& aList, TimePoint aNow)
 {
   const TimePoint readAt = aNow - aList.age;
   const bool isComparable =
@@ -121,13 +121,13 @@
   }
   if (!this->behindSince) {
     this->behindSince = aNow;
-    std::uniform_int_distribution<Duration::rep> draw(0, kChangeSpread.count());
+    std::uniform_int_distribution<Duration::rep> draw(0, kReadJitter.count());
     this->instancesTimer.StartOnce(Duration(draw(this->random)));
   }
 }
 
 TimePoint
-DirectoryKeeper::GraceEnd() const
+DirectoryCache::GraceEnd() const
 {
   return std::max({ this->keepMissingUntil,
                     this->hintsUntil,
@@ -135,20 +135,21 @@
 }
 
 ListStamp
-DirectoryKeeper::List(TimePoint aNow) const
+DirectoryCache::List(TimePoint aNow) const
 {
   return { this->listChecksum,
            std::chrono::ceil<milliseconds>(Between(this->ownReadAt, aNow)) };
 }
 
 bool
-DirectoryKeeper::IsBehind(TimePoint aNow) const
+DirectoryCache::IsBehind(TimePoint aNow) const
 {
-  return this->behindSince && Between(*this->behindSince, aNow) > kBehindFor;
+  return this->behindSince &&
+         Between(*this->behindSince, aNow) > kBehindThreshold;
 }
 
 void
-DirectoryKeeper::ReadInstances()
+DirectoryCache::ReadInstances()
 {
   this->instancesTimer.StartOnce(this->options.instanceReadPeriod);
   if (this->instancesCall != nullptr) {
@@ -173,14 +174,14 @@
 }
 
 void
-DirectoryKeeper::NoteOthersContact(Duration aContact, TimePoint aNow)
+DirectoryCache::OnPeerStoreContact(Duration aContact, TimePoint aNow)
 {
   if (aContact <= Duration::zero()) {
     return;
   }
   const TimePoint since = aNow - aContact;
   const bool isExpired =
-    Between(this->peerContactHeardAt, aNow) > kOthersWordLife;
+    Between(this->peerContactHeardAt, aNow) > kPeerContactTtl;
   if (isExpired || since <= this->peerContactSince) {
     this->peerContactSince = since;
     this->peerContactHeardAt = aNow;
@@ -188,7 +189,7 @@
 }
 
 Duration
-DirectoryKeeper::StoreContact(TimePoint aNow) const
+DirectoryCache::StoreContact(TimePoint aNow) const
 {
   return this->storeAnswers && this->HasInstances()
            ? Between(this->contactSince, aNow)
@@ -196,17 +197,17 @@
 }
 
 bool
-DirectoryKeeper::WasDownForPeers(TimePoint aNow) const
+DirectoryCache::WasDownForPeers(TimePoint aNow) const
 {
   const bool hasReport =
-    Between(this->peerContactHeardAt, aNow) <= kOthersWordLife;
+    Between(this->peerContactHeardAt, aNow) <= kPeerContactTtl;
   return !hasReport || this->peerContactSince > this->lastAnswerAt;
 }
 
 void
-DirectoryKeeper::OnStoreAnswer(bool aAnswers,
-                               std::string_view aReason,
-                               TimePoint aNow)
+DirectoryCache::OnStoreAnswer(bool aAnswers,
+                              std::string_view aReason,
+                              TimePoint aNow)
 {
   if (aAnswers && !this->storeAnswers) {
     this->contactSince = aNow;
@@ -235,8 +236,8 @@
 }
 
 void
-DirectoryKeeper::OnInstancesRead(const absl::StatusOr<RangeResult>& aResult,
-                                 bool aMayBeOld)
+DirectoryCache::OnInstancesRead(const absl::StatusOr<RangeResult>& aResult,
+                                bool aMayBeOld)
 {
   const TimePoint now = Now();
   this->OnStoreAnswer(aResult.ok(), MessageOf(aResult.status()), now);
@@ -267,8 +268,8 @@
 }
 
 void
-DirectoryKeeper::NoteRejected(const KeyValue& aValue,
-                              const absl::Status& aReason)
+DirectoryCache::NoteRejected(const KeyValue& aValue,
+                             const absl::Status& aReason)
 {
   // The list is read more than once a second, so an entry is logged only when
   // it changes.
@@ -285,25 +286,25 @@
 }
 
 bool
-DirectoryKeeper::IsRejected(const DirectInstance& aInstance) const
+DirectoryCache::IsRejected(const DirectInstance& aInstance) const
 {
   return this->rejected.contains(this->format.InstancesPrefix() +
                                  aInstance.server.Value());
 }
 
 void
-DirectoryKeeper::MergeInstances(std::vector<DirectInstance> aRead,
-                                TimePoint aNow)
+DirectoryCache::MergeInstances(std::vector<DirectInstance> aRead,
+                               TimePoint aNow)
 {
   this->mergedAt = aNow;
   this->starts = LatestStarts(this->starts, aRead);
   Instances merged = LatestIncarnations(this->starts, std::move(aRead));
-  this->departures.DropGhosts(merged, aNow);
+  this->departures.DropDeparted(merged, aNow);
   // Entries of live servers may expire while the store is unavailable. They are
   // written again soon after it recovers; until then missing ones are kept.
   if (aNow < this->keepMissingUntil) {
     // A malformed entry has not expired; its server is not kept.
-    KeepMissing(merged, this->instances, [this](const DirectInstance& aOne) {
+    AddMissing(merged, this->instances, [this](const DirectInstance& aOne) {
       return this->IsRejected(aOne);
     });
   }
@@ -324,7 +325,7 @@
 }
 
 std::vector<DirectInstance>
-DirectoryKeeper::Listed() const
+DirectoryCache::Listed() const
 {
   std::vector<DirectInstance> list;
   for (const auto& [name, instance] : this->instances) {
@@ -334,7 +335,7 @@
 }
 
 void
-DirectoryKeeper::TakeHints(std::span<const DirectInstance> aHints,
+DirectoryCache::ApplyHints(std::span<const DirectInstance> aHints,
                            TimePoint aNow)
 {
   for (const DirectInstance& hint : aHints) {
@@ -348,18 +349,18 @@
 }
 
 void
-DirectoryKeeper::AddHints(Instances& aMerged, TimePoint aNow) const
+DirectoryCache::AddHints(Instances& aMerged, TimePoint aNow) const
 {
   if (aNow >= this->hintsUntil || this->hints.empty()) {
     return;
   }
   Instances withHints = aMerged;
-  KeepMissing(withHints, this->hints, [this](const DirectInstance& aOne) {
+  AddMissing(withHints, this->hints, [this](const DirectInstance& aOne) {
     return this->IsRejected(aOne);
   });
   const std::size_t missing = withHints.size() - aMerged.size();
   const auto all = static_cast<double>(this->hints.size());
-  if (static_cast<double>(missing) >= kLostShare * all) {
+  if (static_cast<double>(missing) >= kMinMissingShare * all) {
     Log(LogLevel::Info,
         "instances_from_hints",
         "count",
@@ -371,7 +372,7 @@
 }
 
 void
-DirectoryKeeper::OnEra(StoreEra aEra, TimePoint aNow)
+DirectoryCache::OnEra(StoreEra aEra, TimePoint aNow)
 {
   const StoreEra before = std::exchange(this->era, aEra);
   if (!this->HasInstances() || aEra == before) {
@@ -380,11 +381,11 @@
   // Live servers write their entries again. Entries of servers that have left
   // since the copy was made reappear until they expire.
   this->keepMissingUntil = aNow + kReturnGrace;
-  this->departures.DistrustUntil(aNow + Departures::kGhostLife);
+  this->departures.DistrustUntil(aNow + Departures::kEntryLifetime);
 }
 
 std::string
-DirectoryKeeper::InstancesDocument(TimePoint aNow) const
+DirectoryCache::InstancesDocument(TimePoint aNow) const
 {
   InstanceList list;
   list.age = std::chrono::duration_cast<milliseconds>(this->InstancesAge(aNow));
@@ -393,7 +394,7 @@
 }
 
 void
-DirectoryKeeper::TakeInstances(std::string_view aDocument,
+DirectoryCache::ApplyInstances(std::string_view aDocument,
                                std::string_view aFrom)
 {
   auto list = ReadInstanceList(aDocument);
@@ -426,13 +427,13 @@
 }
 
 Duration
-DirectoryKeeper::InstancesAge(TimePoint aNow) const
+DirectoryCache::InstancesAge(TimePoint aNow) const
 {
   return Between(this->instancesReadAt, aNow);
 }
 
 void
-DirectoryKeeper::Leave()
+DirectoryCache::Leave()
 {
   this->roster.Leave();
 }
--- a/dogwoodvale/src/Gateway/DirectoryKeeper.h
+++ b/dogwoodvale/src/Gateway/DirectoryCache.h
@@ -1,5 +1,5 @@
-#ifndef DOGWOODVALE_GATEWAY_DIRECTORYKEEPER_H
-#define DOGWOODVALE_GATEWAY_DIRECTORYKEEPER_H
+#ifndef DOGWOODVALE_GATEWAY_DIRECTORYCACHE_H
+#define DOGWOODVALE_GATEWAY_DIRECTORYCACHE_H
 
 #include <map>
 #include <memory>
@@ -10,11 +10,11 @@
 #include "Incarnations.h"
 #include "PeerDigest.h"
 #include "Ports.h"
-#include "RoutesKeeper.h"
+#include "RoutesCache.h"
 
 namespace dogwoodvale {
 
-/// Receives the updates of a DirectoryKeeper.
+/// Receives the updates of a DirectoryCache.
 class DirectoryObserver
 {
 public:
@@ -26,11 +26,11 @@
 };
 
 /// Local copy of the directory in the store: routes (watched, see
-/// RoutesKeeper), backend servers (polled), and gateways (see GatewayRoster).
+/// RoutesCache), backend servers (polled), and gateways (see GatewayRoster).
 ///
 /// Backend servers are polled rather than watched: each writes a heartbeat
 /// about once a second, and a watch would deliver an event for every one.
-class DirectoryKeeper
+class DirectoryCache
 {
 public:
   struct Options
@@ -43,11 +43,11 @@
     bool sharesReads = true;
   };
 
-  DirectoryKeeper(EventLoop& aLoop,
-                  StoreClient& aStore,
-                  const DirectoryFormat& aFormat,
-                  Options aOptions,
-                  DirectoryObserver& aObserver);
+  DirectoryCache(EventLoop& aLoop,
+                 StoreClient& aStore,
+                 const DirectoryFormat& aFormat,
+                 Options aOptions,
+                 DirectoryObserver& aObserver);
 
   void Start();
   /// Rearms the watch and reads the list again, e.g. after the process was
@@ -60,11 +60,11 @@
   /// WriteInstanceList()) if it is newer than this one's. Logs and ignores a
   /// malformed one.
   /// \param aFrom the sender, for the log.
-  void TakeInstances(std::string_view aDocument, std::string_view aFrom);
+  void ApplyInstances(std::string_view aDocument, std::string_view aFrom);
   /// Another gateway has read this list from the store. If its checksum is that
   /// of the list here, the next read is postponed; if it is another and newer
-  /// list, a read is scheduled within kChangeSpread.
-  void NoteOthersList(const ListStamp& aList, TimePoint aNow);
+  /// list, a read is scheduled within kReadJitter.
+  void OnPeerList(const ListStamp& aList, TimePoint aNow);
   /// Checksum and age of this gateway's own last read. An age that another
   /// gateway reported is not forwarded: each hop would make the list look
   /// younger by the network delay, so that it would never age.
@@ -73,27 +73,27 @@
   /// would read at once after each change, more than the store can serve in
   /// time.
   void SetSharing(bool aShares) { this->options.sharesReads = aShares; }
-  /// Whether a newer list has been known of for longer than kBehindFor without
-  /// being read.
+  /// Whether a newer list has been known of for longer than kBehindThreshold
+  /// without being read.
   bool IsBehind(TimePoint aNow) const;
   /// Backend servers that were listed shortly before this process started.
   /// Used for kReturnGrace after the first read, in case the store was
   /// unavailable: entries that expired during the outage are written again
-  /// within that time. See kLostShare.
-  void TakeHints(std::span<const DirectInstance> aHints, TimePoint aNow);
+  /// within that time. See kMinMissingShare.
+  void ApplyHints(std::span<const DirectInstance> aHints, TimePoint aNow);
   GatewayRoster& Roster() { return this->roster; }
   /// The backend servers in force.
   std::vector<DirectInstance> Listed() const;
 
-  RoutesKeeper& Routes() { return this->routes; }
-  const RoutesKeeper& Routes() const { return this->routes; }
+  RoutesCache& Routes() { return this->routes; }
+  const RoutesCache& Routes() const { return this->routes; }
   /// Another gateway reports for how long the store has answered it without a
   /// failure.
-  void NoteOthersContact(Duration aContact, TimePoint aNow);
+  void OnPeerStoreContact(Duration aContact, TimePoint aNow);
   /// For how long the store has answered this gateway without a failure; zero
   /// while it does not answer.
   Duration StoreContact(TimePoint aNow) const;
-  /// The list in force and its age, as TakeInstances() reads it.
+  /// The list in force and its age, as ApplyInstances() reads it.
   std::string InstancesDocument(TimePoint aNow) const;
   /// Time since the store was last known to have the list that is here.
   Duration InstancesAge(TimePoint aNow) const;
@@ -105,19 +105,19 @@
   /// missing because it expired during the outage.
   static constexpr Duration kReturnGrace = milliseconds(2200);
   /// How long another gateway's report of its contact with the store is valid.
-  static constexpr Duration kOthersWordLife = seconds(1);
+  static constexpr Duration kPeerContactTtl = seconds(1);
   /// How long to wait for the store to deliver a newer list before it is
   /// requested from other gateways.
-  static constexpr Duration kBehindFor = milliseconds(300);
+  static constexpr Duration kBehindThreshold = milliseconds(300);
   /// Jitter of the reads that follow a change of the list.
-  static constexpr Duration kChangeSpread = milliseconds(100);
+  static constexpr Duration kReadJitter = milliseconds(100);
   /// Longest time between two own reads, in periods, however fresh the list is
   /// by the reports of other gateways: these may have been delayed.
-  static constexpr double kMostPeriods = 1.5;
+  static constexpr double kMaxOwnReadPeriods = 1.5;
   /// Hints are used only if at least this share of them is missing from the
   /// store's list: they replace entries that the store has lost, not servers
   /// that have left.
-  static constexpr double kLostShare = 0.1;
+  static constexpr double kMinMissingShare = 0.1;
 
 private:
   void ReadInstances();
@@ -147,7 +147,7 @@
   const DirectoryFormat& format;
   Options options;
   DirectoryObserver& observer;
-  RoutesKeeper routes;
+  RoutesCache routes;
   std::unique_ptr<StoreCall> instancesCall;
   Timer instancesTimer;
   GatewayRoster roster;
--- a/dogwoodvale/src/Gateway/Gateway.cpp
+++ b/dogwoodvale/src/Gateway/Gateway.cpp
@@ -115,11 +115,11 @@
     return exchange.status();
   }
   this->peers = *std::move(exchange);
-  DirectoryKeeper::Options options;
+  DirectoryCache::Options options;
   options.self = { this->settings.instance, this->settings.peers };
   options.instanceReadPeriod = this->InstanceReadPeriod();
   options.sharesReads = this->settings.gateway.decisions.sharedReads;
-  this->directory = std::make_unique<DirectoryKeeper>(
+  this->directory = std::make_unique<DirectoryCache>(
     this->loop, *this->ports.store, *this->ports.directory, options, *this);
   this->warmStart = std::make_unique<WarmStart>(
     this->settings.instance,
@@ -187,7 +187,7 @@
 void
 Gateway::OnRequest(std::unique_ptr<CallerExchange> aExchange)
 {
-  CallerEnvelope callerMetadata =
+  CallerRequestMetadata callerMetadata =
     this->ports.callers->Read(aExchange->Request());
   const std::string id = callerMetadata.attemptId;
   auto result = AdmitRequest(aExchange->Request(),
@@ -198,7 +198,7 @@
   if (const auto* error = std::get_if<RequestError>(&result)) {
     const bool isBehind = this->catchUp.IsBehind(Now());
     this->Refuse(
-      *aExchange, isBehind ? RefusalWhileBehind(*error) : *error, id);
+      *aExchange, isBehind ? ErrorWhileOutdated(*error) : *error, id);
     return;
   }
   auto& admitted = std::get<AdmittedRequest>(result);
@@ -353,10 +353,10 @@
   knownIncarnation = aDigest.incarnation;
   sequence = aDigest.sequence;
   const TimePoint now = Now();
-  this->directory->NoteOthersContact(aDigest.storeContact, now);
+  this->directory->OnPeerStoreContact(aDigest.storeContact, now);
   this->pool.ApplyDigest(aDigest, now);
   this->crashes.ApplyDigest(aDigest);
-  this->directory->NoteOthersList(aDigest.list, now);
+  this->directory->OnPeerList(aDigest.list, now);
   // Gateways of other cells send a digest only occasionally; usage reporting
   // and the warm start work within a cell.
   if (CellOf(aDigest.gateway, this->cells) == this->ownCell) {
@@ -369,7 +369,7 @@
       this->pool.OnLongPrompt(prompt.instance, prompt.longTokens, now);
     }
   }
-  this->catchUp.OnTold(aFrom, aDigest.routesVersion, now);
+  this->catchUp.OnPeerVersion(aFrom, aDigest.routesVersion, now);
   this->FetchRoutesFromPeer(now);
 }
 
@@ -383,11 +383,11 @@
       this->directory->Routes().Apply(aDocument, aFrom.ToString());
     this->catchUp.OnAnswer(aFrom, isTaken, Now());
   } else if (aPath == PeerExchange::kInstancesPath) {
-    this->directory->TakeInstances(aDocument, aFrom.ToString());
+    this->directory->ApplyInstances(aDocument, aFrom.ToString());
   } else if (aPath == WarmStart::kPath) {
     this->warmStart->Apply(aDocument, aFrom.ToString());
-  } else if (aPath.starts_with(UsageDuty::kPath)) {
-    this->usage.TakeDocument(aPath, aDocument, aFrom);
+  } else if (aPath.starts_with(UsageAccounting::kPath)) {
+    this->usage.ApplyDocument(aPath, aDocument, aFrom);
   }
 }
 
--- a/dogwoodvale/src/Gateway/Gateway.h
+++ b/dogwoodvale/src/Gateway/Gateway.h
@@ -7,14 +7,14 @@
 
 #include "BackendPool.h"
 #include "CrashGuard.h"
-#include "DirectoryKeeper.h"
+#include "DirectoryCache.h"
 #include "GatewayMetrics.h"
 #include "GatewayRequest.h"
 #include "PeerExchange.h"
 #include "RoutesCatchUp.h"
 #include "StopSchedule.h"
-#include "SuspensionWatch.h"
-#include "UsageDuty.h"
+#include "SuspensionDetector.h"
+#include "UsageAccounting.h"
 #include "WarmStart.h"
 #include "dogwoodvale/Settings"
 
@@ -113,9 +113,9 @@
   Placer placer;
   BackendPool pool;
   CrashGuard crashes;
-  UsageDuty usage;
+  UsageAccounting usage;
   GatewayMetrics metrics;
-  std::unique_ptr<DirectoryKeeper> directory;
+  std::unique_ptr<DirectoryCache> directory;
   RoutesCatchUp catchUp;
   std::unique_ptr<WarmStart> warmStart;
   std::unique_ptr<PeerExchange> peers;
@@ -135,7 +135,7 @@
   bool stopping = false;
   bool accepting = true;
   StopSchedule stopSchedule;
-  SuspensionWatch suspensionDetector;
+  SuspensionDetector suspensionDetector;
   Timer maintenanceTimer;
   Timer destroyTimer;
   Timer stopTimer;
--- a/dogwoodvale/src/Gateway/GatewayOperators.cpp
+++ b/dogwoodvale/src/Gateway/GatewayOperators.cpp
@@ -10,7 +10,7 @@
 constexpr int kHttpForbidden = 403;
 
 Json::Value
-UsageStatus(const UsageDuty& aUsage)
+UsageStatus(const UsageAccounting& aUsage)
 {
   const UsageReporter& reporter = *aUsage.Reporter();
   const UsagePlan& plan = reporter.Plan();
@@ -57,11 +57,11 @@
   gauges.requests = this->requests.size();
   gauges.instances = this->pool.Count();
   gauges.peers = this->pool.Work().PeerCount();
-  gauges.digestsRefused = this->peers->DigestsRefused();
+  gauges.digestsRefused = this->peers->DigestsRejected();
   gauges.reserved = this->pool.ReservedCount();
   gauges.rateLimited = this->pool.Needs().Rates().LimitedCount();
-  gauges.resting = this->pool.Needs().Rests().RestingCount(now);
-  gauges.serversCrashed = this->crashes.ServersEnded();
+  gauges.resting = this->pool.Needs().Rests().BackingOffCount(now);
+  gauges.serversCrashed = this->crashes.ServersCrashed();
   gauges.suspects = this->crashes.Ledger().SuspectCount();
   gauges.quarantined = this->crashes.Ledger().QuarantinedCount(now);
   gauges.instancesRejected = this->directory->RejectedCount();
@@ -119,7 +119,7 @@
   if (aPath == WarmStart::kPath) {
     return this->warmStart->Document();
   }
-  if (aPath.starts_with(UsageDuty::kPath)) {
+  if (aPath.starts_with(UsageAccounting::kPath)) {
     return this->usage.Document();
   }
   return std::nullopt;
@@ -132,7 +132,7 @@
   if (!path.starts_with(PeerExchange::kPathPrefix)) {
     return OperatorHandler::Other(aRequest);
   }
-  if (!this->peers->IsProven(aRequest.path)) {
+  if (!this->peers->HasValidProof(aRequest.path)) {
     return { kHttpForbidden,
              "text/plain; charset=utf-8",
              "missing or invalid proof\n" };
--- a/dogwoodvale/src/Gateway/GatewayRequest.cpp
+++ b/dogwoodvale/src/Gateway/GatewayRequest.cpp
@@ -65,7 +65,7 @@
   request.outputTokens = this->admitted.callerMetadata.maxOutputTokens;
   request.isFirst = this->outcome.attempts == 0;
   request.hasBegun = this->streamStarted;
-  request.wasRead = this->timesSent > 0;
+  request.mayHaveBeenPrefilled = this->timesSent > 0;
   return request;
 }
 
@@ -134,18 +134,18 @@
   plan.expectsStream = this->GetRoute().kind == RouteKind::Streaming;
   plan.resumeAfter = this->lastDeliveredEvent;
   plan.timeouts =
-    PatienceFor(this->GetRoute(), this->outcome.attempts, this->TimeLeft(aNow));
+    TimeoutsFor(this->GetRoute(), this->outcome.attempts, this->TimeLeft(aNow));
   if (!this->MayRepeat()) {
     plan.maxConnectionIdle = kMaxIdleForNonIdempotent;
   }
   return plan;
 }
 
-BackendOrder
+BackendRequestMetadata
 GatewayRequest::MetadataFor(const InstanceName& aInstance, TimePoint aNow) const
 {
   const BackendPool& pool = this->host.Backends();
-  BackendOrder metadata;
+  BackendRequestMetadata metadata;
   metadata.server = pool.ServerOf(aInstance);
   metadata.customer = this->admitted.customer;
   metadata.timeLeft = this->TimeLeft(aNow);
@@ -183,7 +183,8 @@
                                     this->PlanFor(aCandidate.name, now),
                                     *this);
   this->host.Crashes().OnSent(this->admitted.fingerprint);
-  const BackendOrder metadata = this->MetadataFor(aCandidate.name, now);
+  const BackendRequestMetadata metadata =
+    this->MetadataFor(aCandidate.name, now);
   ++this->outcome.attempts;
   this->attempt->Start(
     aClient,
@@ -206,7 +207,7 @@
   }
   this->sent->hasResponded = true;
   const Duration latency = Between(this->sent->at, aNow);
-  PrefillFlow& flow =
+  PrefillStatistics& flow =
     this->host.Backends().FlowOf(this->admitted.service->name);
   const std::uint64_t prefilled =
     this->outcome.placement.prefillAhead + this->sent->work.Prefill();
@@ -415,7 +416,7 @@
   RetryAllowance allowance;
   allowance.hasBudget = isFree || retries.HasRoom(aNow);
   allowance.deadlineLeft = this->TimeLeft(aNow);
-  allowance.leastUseful = kMinUsefulTime;
+  allowance.minUsefulTime = kMinUsefulTime;
   allowance.attempts = this->timesSent;
   allowance.maxAttempts = this->GetRoute().maxAttempts;
   const RetryVerdict verdict = DecideRetry(ended, allowance);
@@ -520,7 +521,7 @@
   if (this->outcome.complete && this->sent) {
     BackendPool& pool = this->host.Backends();
     const ServiceName& service = this->admitted.service->name;
-    pool.FlowOf(service).OnStay(this->outcome.total);
+    pool.FlowOf(service).OnRequestTime(this->outcome.total);
     if (this->streamStarted) {
       pool.PausesOf(service).OnStream(this->GetRoute().targetGap,
                                       this->outcome.longestGap);
--- a/dogwoodvale/src/Gateway/GatewayRequest.h
+++ b/dogwoodvale/src/Gateway/GatewayRequest.h
@@ -8,8 +8,8 @@
 #include "Admission.h"
 #include "AttemptHealth.h"
 #include "BackendPool.h"
-#include "CopyWait.h"
 #include "DirectAttempt.h"
+#include "SuspectWait.h"
 
 namespace dogwoodvale {
 
@@ -125,7 +125,8 @@
   bool PassesCrashGuard(TimePoint aNow);
   PlacementRequest MakePlacementRequest(TimePoint aNow) const;
   void SendTo(const DirectCandidate& aCandidate, BackendClient& aClient);
-  BackendOrder MetadataFor(const InstanceName& aInstance, TimePoint aNow) const;
+  BackendRequestMetadata MetadataFor(const InstanceName& aInstance,
+                                     TimePoint aNow) const;
   DirectAttempt::Plan PlanFor(const InstanceName& aInstance,
                               TimePoint aNow) const;
   AttemptHealth HealthOf(const InstanceName& aInstance) const;
@@ -172,7 +173,7 @@
   /// Id of the last event passed on to the caller.
   std::optional<std::uint64_t> lastDeliveredEvent;
   TimePoint lastEventsAt{};
-  CopyWait suspectWait;
+  SuspectWait suspectWait;
   Timer suspectTimer;
   GatewayOutcome outcome;
   bool done = false;
--- a/dogwoodvale/src/Gateway/GatewayRoster.cpp
+++ b/dogwoodvale/src/Gateway/GatewayRoster.cpp
@@ -33,7 +33,7 @@
   }
   const TimePoint now = Now();
   const bool isStarting = Between(this->startedAt, now) < kStartDuration;
-  this->timer.StartOnce(isStarting ? kPeriodAtStart : kPeriod);
+  this->timer.StartOnce(isStarting ? kStartPeriod : kPeriod);
   if (this->leaseCall == nullptr) {
     // A lease of an earlier era of the store no longer exists, and its id may
     // have been reassigned.
@@ -136,7 +136,7 @@
 }
 
 void
-GatewayRoster::TakeHints(std::span<const GatewayMember> aHints, TimePoint aNow)
+GatewayRoster::ApplyHints(std::span<const GatewayMember> aHints, TimePoint aNow)
 {
   this->hints.assign(aHints.begin(), aHints.end());
   this->Announce(aNow);
--- a/dogwoodvale/src/Gateway/GatewayRoster.h
+++ b/dogwoodvale/src/Gateway/GatewayRoster.h
@@ -40,7 +40,7 @@
   /// Gateways that were present before this process started. If all gateways
   /// restart together, each is listed only once it has joined; for the first
   /// kStartDuration these are listed too.
-  void TakeHints(std::span<const GatewayMember> aHints, TimePoint aNow);
+  void ApplyHints(std::span<const GatewayMember> aHints, TimePoint aNow);
 
   std::span<const GatewayMember> Members() const { return this->members; }
 
@@ -48,7 +48,7 @@
   /// Period of the renewals and reads.
   static constexpr Duration kPeriod = seconds(2);
   /// The same during the first kStartDuration, when other gateways may join.
-  static constexpr Duration kPeriodAtStart = milliseconds(400);
+  static constexpr Duration kStartPeriod = milliseconds(400);
   static constexpr Duration kStartDuration = seconds(4);
   static constexpr std::string_view kPrefix = "dogwoodvale/gateways/";
 
--- a/dogwoodvale/src/Gateway/Incarnations.cpp
+++ b/dogwoodvale/src/Gateway/Incarnations.cpp
@@ -41,9 +41,9 @@
 }
 
 void
-KeepMissing(Instances& aMerged,
-            const Instances& aKnown,
-            const std::function<bool(const DirectInstance&)>& aIsGone)
+AddMissing(Instances& aMerged,
+           const Instances& aKnown,
+           const std::function<bool(const DirectInstance&)>& aIsGone)
 {
   absl::flat_hash_set<InstanceName> present;
   for (const auto& [name, instance] : aMerged) {
--- a/dogwoodvale/src/Gateway/Incarnations.h
+++ b/dogwoodvale/src/Gateway/Incarnations.h
@@ -34,9 +34,9 @@
 /// Adds the entries of \p aKnown whose servers are missing from \p aMerged.
 /// \param aIsGone whether an entry is left out.
 void
-KeepMissing(Instances& aMerged,
-            const Instances& aKnown,
-            const std::function<bool(const DirectInstance&)>& aIsGone);
+AddMissing(Instances& aMerged,
+           const Instances& aKnown,
+           const std::function<bool(const DirectInstance&)>& aIsGone);
 
 } // namespace dogwoodvale
 
--- a/dogwoodvale/src/Gateway/PeerDigest.cpp
+++ b/dogwoodvale/src/Gateway/PeerDigest.cpp
@@ -179,7 +179,7 @@
   std::vector<PackedPrompt> routed;
   std::vector<PackedEvidence> evidence;
   std::vector<PackedVerdict> verdicts;
-  std::vector<RequestFingerprint> suspectsUnderWay;
+  std::vector<RequestFingerprint> suspectsInFlight;
   std::uint64_t listSum = 0;
   std::int64_t listAgeMillis = 0;
   std::int64_t timeOfDayMillis = 0;
@@ -198,7 +198,7 @@
                        routed,
                        evidence,
                        verdicts,
-                       suspectsUnderWay,
+                       suspectsInFlight,
                        listSum,
                        listAgeMillis,
                        timeOfDayMillis,
@@ -223,7 +223,7 @@
         line.isLifted,
         std::chrono::duration_cast<milliseconds>(line.left).count() });
   }
-  aPacked.suspectsUnderWay = aDigest.suspectsUnderWay;
+  aPacked.suspectsInFlight = aDigest.suspectsInFlight;
 }
 
 void
@@ -243,16 +243,16 @@
                                          line.isLifted,
                                          milliseconds(line.leftMillis) });
   }
-  aDigest.suspectsUnderWay = std::move(aPacked.suspectsUnderWay);
+  aDigest.suspectsInFlight = std::move(aPacked.suspectsInFlight);
 }
 
 void
-PackUsage(const UsageWord& aWord, PackedDigest& aPacked)
+PackUsage(const UsageDigest& aWord, PackedDigest& aPacked)
 {
   aPacked.timeOfDayMillis = aWord.timeOfDay.count();
-  aPacked.trueTimeMillis = aWord.trueTime.count();
+  aPacked.trueTimeMillis = aWord.agreedTime.count();
   aPacked.isUsageReporter = aWord.isReporter;
-  for (const UsageNews& news : aWord.counts) {
+  for (const UsageUpdate& news : aWord.counts) {
     PackedNews packed{ news.window, news.total, {} };
     for (const auto& [customer, count] : news.counts) {
       packed.counts.emplace_back(customer.Value(), count);
@@ -261,15 +261,15 @@
   }
 }
 
-UsageWord
+UsageDigest
 UnpackUsage(const PackedDigest& aPacked)
 {
-  UsageWord word;
+  UsageDigest word;
   word.timeOfDay = milliseconds(aPacked.timeOfDayMillis);
-  word.trueTime = milliseconds(aPacked.trueTimeMillis);
+  word.agreedTime = milliseconds(aPacked.trueTimeMillis);
   word.isReporter = aPacked.isUsageReporter;
   for (const PackedNews& packed : aPacked.usage) {
-    UsageNews news{ packed.window, packed.total, {} };
+    UsageUpdate news{ packed.window, packed.total, {} };
     for (const auto& [customer, count] : packed.counts) {
       news.counts[CustomerName(customer)] = count;
     }
@@ -279,9 +279,9 @@
 }
 
 void
-PackRates(std::span<const RateNews> aRates, PackedDigest& aPacked)
+PackRates(std::span<const RateUpdate> aRates, PackedDigest& aPacked)
 {
-  for (const RateNews& news : aRates) {
+  for (const RateUpdate& news : aRates) {
     aPacked.rates.push_back({ news.server.Value(),
                               news.perSecond.has_value(),
                               news.perSecond.value_or(0),
@@ -289,14 +289,14 @@
   }
 }
 
-std::vector<RateNews>
+std::vector<RateUpdate>
 UnpackRates(std::vector<PackedRate>&& aPacked)
 {
-  std::vector<RateNews> rates;
+  std::vector<RateUpdate> rates;
   for (PackedRate& packed : aPacked) {
-    RateNews news{ InstanceName(std::move(packed.server)),
-                   std::nullopt,
-                   milliseconds(packed.ageMillis) };
+    RateUpdate news{ InstanceName(std::move(packed.server)),
+                     std::nullopt,
+                     milliseconds(packed.ageMillis) };
     if (packed.isLimited) {
       news.perSecond = packed.perSecond;
     }
@@ -335,7 +335,7 @@
   PackCrashes(aDigest, toPack);
   PackUsage(aDigest.usage, toPack);
   PackRates(aDigest.rates, toPack);
-  for (const LeavingNews& news : aDigest.leaving) {
+  for (const LeavingUpdate& news : aDigest.leaving) {
     toPack.leaving.push_back({ news.server.Value(), news.age.count() });
   }
   toPack.listSum = aDigest.list.checksum;
--- a/dogwoodvale/src/Gateway/PeerDigest.h
+++ b/dogwoodvale/src/Gateway/PeerDigest.h
@@ -33,15 +33,15 @@
 };
 
 /// The part of a digest that concerns usage reports.
-struct UsageWord
+struct UsageDigest
 {
   /// Since 1970 by the sender's own clock; 0 if it reports no usage.
   milliseconds timeOfDay{ 0 };
   /// Since 1970 by the time on which the gateways agree.
-  milliseconds trueTime{ 0 };
+  milliseconds agreedTime{ 0 };
   /// Whether the sender is the one that reports usage.
   bool isReporter = false;
-  std::vector<UsageNews> counts;
+  std::vector<UsageUpdate> counts;
 };
 
 /// State that a gateway sends to the others a few times a second, in one
@@ -62,17 +62,17 @@
   std::vector<WorkLine> work;
   /// Prompts sent since the last digest.
   std::vector<RoutedPrompt> routed;
-  CrashNews crashes;
+  CrashUpdate crashes;
   /// Suspect requests that the sender has in flight.
-  std::vector<RequestFingerprint> suspectsUnderWay;
+  std::vector<RequestFingerprint> suspectsInFlight;
   /// The list of backend servers that the sender has read from the store.
   ListStamp list;
   /// Empty if no usage is reported.
-  UsageWord usage;
+  UsageDigest usage;
   /// Rate limits that backend servers have stated in their answers.
-  std::vector<RateNews> rates;
+  std::vector<RateUpdate> rates;
   /// Backend servers that have announced their departure in an answer.
-  std::vector<LeavingNews> leaving;
+  std::vector<LeavingUpdate> leaving;
 };
 
 /// Serialises and authenticates a digest.
--- a/dogwoodvale/src/Gateway/PeerExchange.cpp
+++ b/dogwoodvale/src/Gateway/PeerExchange.cpp
@@ -102,7 +102,7 @@
     },
     this);
   event_add(this->readable, nullptr);
-  this->sendTimer.StartOnce(kLeastDigestPeriod);
+  this->sendTimer.StartOnce(kMinDigestPeriod);
   return absl::OkStatus();
 }
 
@@ -164,7 +164,7 @@
   const std::vector<SocketAddress> targets = this->DigestTargets();
   const Duration fair =
     Duration(seconds(targets.size())) / Duration::rep(kDigestsPerSecond);
-  this->sendTimer.StartOnce(std::max(kLeastDigestPeriod, fair));
+  this->sendTimer.StartOnce(std::max(kMinDigestPeriod, fair));
   if (targets.empty()) {
     return;
   }
@@ -282,7 +282,7 @@
 }
 
 bool
-PeerExchange::IsProven(std::string_view aPath) const
+PeerExchange::HasValidProof(std::string_view aPath) const
 {
   const std::size_t at = aPath.find(kProofField);
   return at != std::string_view::npos &&
--- a/dogwoodvale/src/Gateway/PeerExchange.h
+++ b/dogwoodvale/src/Gateway/PeerExchange.h
@@ -4,7 +4,7 @@
 #include <memory>
 #include <vector>
 
-#include "DirectoryKeeper.h"
+#include "DirectoryCache.h"
 #include "PeerDigest.h"
 
 struct event;
@@ -70,10 +70,10 @@
   bool FetchFromAny(const std::string& aPath, std::mt19937_64& aRandom);
   /// Whether the path of a document request carries a valid proof that it comes
   /// from a gateway, see ProofOf().
-  bool IsProven(std::string_view aPath) const;
+  bool HasValidProof(std::string_view aPath) const;
 
   /// Number of datagrams that were malformed or made with another secret.
-  std::uint64_t DigestsRefused() const { return this->refused; }
+  std::uint64_t DigestsRejected() const { return this->refused; }
 
   /// Common prefix of the paths of all documents.
   static constexpr std::string_view kPathPrefix = "/peer/";
@@ -83,7 +83,7 @@
   /// sends to all others of its cell, so the sending rate of each falls as
   /// their number grows.
   static constexpr int kDigestsPerSecond = 200;
-  static constexpr Duration kLeastDigestPeriod = milliseconds(50);
+  static constexpr Duration kMinDigestPeriod = milliseconds(50);
 
 private:
   struct PendingFetch
--- a/dogwoodvale/src/Gateway/Ports.h
+++ b/dogwoodvale/src/Gateway/Ports.h
@@ -70,7 +70,7 @@
 };
 
 /// The metadata in the headers of a caller's request.
-struct CallerEnvelope
+struct CallerRequestMetadata
 {
   /// Id of one attempt of the caller; empty if it sent none.
   std::string attemptId;
@@ -86,18 +86,18 @@
 };
 
 /// Reads callers' requests and writes the headers of errors for them.
-class CallerDialect
+class CallerProtocol
 {
 public:
-  virtual ~CallerDialect() = default;
-  virtual CallerEnvelope Read(const HttpRequest& aRequest) const = 0;
+  virtual ~CallerProtocol() = default;
+  virtual CallerRequestMetadata Read(const HttpRequest& aRequest) const = 0;
   /// Headers of an error answer that originates in this process.
   virtual std::vector<HeaderField> ErrorHeaders(
     const RequestError& aError) const = 0;
 };
 
 /// What a backend server is told in addition to the caller's request.
-struct BackendOrder
+struct BackendRequestMetadata
 {
   /// The server's own name, see DirectInstance::server.
   InstanceName server;
@@ -130,13 +130,13 @@
 };
 
 /// Writes requests to backend servers and reads the heads of their answers.
-class BackendDialect
+class BackendProtocol
 {
 public:
-  virtual ~BackendDialect() = default;
+  virtual ~BackendProtocol() = default;
   /// The request to the backend server, made from the caller's.
   virtual HttpRequest Compose(const HttpRequest& aRequest,
-                              const BackendOrder& aOrder) const = 0;
+                              const BackendRequestMetadata& aOrder) const = 0;
   virtual BackendAnswer ReadHead(
     int aStatus,
     std::span<const HeaderField> aHeaders) const = 0;
@@ -149,8 +149,8 @@
 {
   std::unique_ptr<StoreClient> store;
   std::unique_ptr<DirectoryFormat> directory;
-  std::unique_ptr<CallerDialect> callers;
-  std::unique_ptr<BackendDialect> backends;
+  std::unique_ptr<CallerProtocol> callers;
+  std::unique_ptr<BackendProtocol> backends;
   /// Null if no usage is reported.
   std::unique_ptr<UsagePort> usage;
 };
--- a/dogwoodvale/src/Gateway/QuarantineKeeper.cpp
+++ b/dogwoodvale/src/Gateway/QuarantineStore.cpp
@@ -1,4 +1,4 @@
-#include "QuarantineKeeper.h"
+#include "QuarantineStore.h"
 
 #include <algorithm>
 #include <charconv>
@@ -37,8 +37,8 @@
   if (verdict.isLifted) {
     aValue.remove_suffix(kLifted.size());
   }
-  const bool isRead = aKey.starts_with(QuarantineKeeper::kPrefix) &&
-                      ReadWhole(aKey.substr(QuarantineKeeper::kPrefix.size()),
+  const bool isRead = aKey.starts_with(QuarantineStore::kPrefix) &&
+                      ReadWhole(aKey.substr(QuarantineStore::kPrefix.size()),
                                 kHexadecimal,
                                 verdict.request) &&
                       ReadWhole(aValue, kDecimal, verdict.round);
@@ -48,9 +48,9 @@
   return verdict;
 }
 
-QuarantineKeeper::QuarantineKeeper(EventLoop& aLoop,
-                                   StoreClient& aStore,
-                                   Handler aHandler)
+QuarantineStore::QuarantineStore(EventLoop& aLoop,
+                                 StoreClient& aStore,
+                                 Handler aHandler)
   : store(aStore)
   , handler(std::move(aHandler))
   , readTimer(aLoop, [this] { this->Read(false); })
@@ -59,14 +59,14 @@
 }
 
 void
-QuarantineKeeper::Start()
+QuarantineStore::Start()
 {
   this->Read(true);
   this->readTimer.StartOnce(kRereadDelay);
 }
 
 void
-QuarantineKeeper::Read(bool aAllowStale)
+QuarantineStore::Read(bool aAllowStale)
 {
   RangeQuery query;
   query.key = kPrefix;
@@ -84,7 +84,7 @@
 }
 
 void
-QuarantineKeeper::OnRead(const RangeResult& aResult)
+QuarantineStore::OnRead(const RangeResult& aResult)
 {
   for (const KeyValue& value : aResult.values) {
     auto verdict = ReadVerdict(value.key, value.value);
@@ -105,9 +105,9 @@
 }
 
 void
-QuarantineKeeper::Persist(const QuarantineVerdict& aVerdict)
+QuarantineStore::Persist(const QuarantineVerdict& aVerdict)
 {
-  if (this->pending.size() >= kMostWaiting) {
+  if (this->pending.size() >= kMaxPendingWrites) {
     return;
   }
   this->pending[aVerdict.request] = aVerdict;
@@ -115,7 +115,7 @@
 }
 
 void
-QuarantineKeeper::RunMaintenance()
+QuarantineStore::RunMaintenance()
 {
   const TimePoint now = Now();
   std::erase_if(this->stored,
@@ -132,7 +132,7 @@
 }
 
 void
-QuarantineKeeper::WriteNext()
+QuarantineStore::WriteNext()
 {
   if (this->pending.empty() || this->writeCall != nullptr) {
     return;
@@ -141,7 +141,7 @@
   // The record of a lifted quarantine is stored for as long as a gateway may
   // still report the quarantine.
   const Duration ttl =
-    verdict.isLifted ? kLongestLease : std::min(verdict.left, kLongestLease);
+    verdict.isLifted ? kMaxLeaseTtl : std::min(verdict.left, kMaxLeaseTtl);
   this->writeCall = this->store.GrantLease(
     ttl, [this, verdict](const absl::StatusOr<LeaseGrant>& aGrant) {
       const std::unique_ptr<StoreCall> ended = std::move(this->writeCall);
@@ -155,7 +155,7 @@
 }
 
 void
-QuarantineKeeper::Put(const QuarantineVerdict& aVerdict, LeaseId aLease)
+QuarantineStore::Put(const QuarantineVerdict& aVerdict, LeaseId aLease)
 {
   Operation put;
   put.key = fmt::format("{}{}", kPrefix, FingerprintText(aVerdict.request));
--- a/dogwoodvale/src/Gateway/QuarantineKeeper.h
+++ b/dogwoodvale/src/Gateway/QuarantineStore.h
@@ -1,5 +1,5 @@
-#ifndef DOGWOODVALE_GATEWAY_QUARANTINEKEEPER_H
-#define DOGWOODVALE_GATEWAY_QUARANTINEKEEPER_H
+#ifndef DOGWOODVALE_GATEWAY_QUARANTINESTORE_H
+#define DOGWOODVALE_GATEWAY_QUARANTINESTORE_H
 
 #include <functional>
 #include <map>
@@ -15,21 +15,21 @@
 /// Gateways hold quarantines in memory and exchange them. If all gateways are
 /// killed at once, each quarantined request would have to crash three more
 /// servers to be detected again; the stored copies avoid that.
-class QuarantineKeeper
+class QuarantineStore
 {
 public:
   using Handler = std::function<void(const QuarantineVerdict&)>;
 
   /// \param aHandler is called for each quarantine that is read.
-  QuarantineKeeper(EventLoop& aLoop, StoreClient& aStore, Handler aHandler);
+  QuarantineStore(EventLoop& aLoop, StoreClient& aStore, Handler aHandler);
 
   /// Reads the stored quarantines twice: at once, possibly seconds stale, and
   /// consistently after kRereadDelay, when gateways that started together have
   /// all done their first read.
   void Start();
   /// Stores a verdict, in place of an earlier one of the same request. Retried
-  /// every kRetryPeriod until the store has applied it. Dropped if kMostWaiting
-  /// others are pending.
+  /// every kRetryPeriod until the store has applied it. Dropped if
+  /// kMaxPendingWrites others are pending.
   void Persist(const QuarantineVerdict& aVerdict);
   /// Writes the verdicts in force again if the store was restored from an older
   /// copy. Call a few times a second.
@@ -37,12 +37,12 @@
 
   static constexpr std::string_view kPrefix = "dogwoodvale/quarantine/";
   /// Longest lease that the store grants.
-  static constexpr Duration kLongestLease = seconds(600);
+  static constexpr Duration kMaxLeaseTtl = seconds(600);
   static constexpr Duration kRereadDelay = seconds(2);
   static constexpr Duration kRetryPeriod = seconds(1);
   /// Most pending writes; further verdicts are dropped, as the other gateways
   /// have them too.
-  static constexpr std::size_t kMostWaiting = 64;
+  static constexpr std::size_t kMaxPendingWrites = 64;
 
 private:
   void Read(bool aAllowStale);
@@ -72,7 +72,7 @@
 std::string
 WriteVerdict(const QuarantineVerdict& aVerdict);
 
-/// \param aKey under QuarantineKeeper::kPrefix.
+/// \param aKey under QuarantineStore::kPrefix.
 /// \return the verdict with QuarantineVerdict::left unset, as it isn't stored;
 /// InvalidArgument for another key or value.
 absl::StatusOr<QuarantineVerdict>
--- a/dogwoodvale/src/Gateway/RoutesKeeper.cpp
+++ b/dogwoodvale/src/Gateway/RoutesCache.cpp
@@ -1,12 +1,12 @@
-#include "RoutesKeeper.h"
+#include "RoutesCache.h"
 
 #include <utility>
 
 namespace dogwoodvale {
 
-RoutesKeeper::RoutesKeeper(StoreClient& aStore,
-                           const DirectoryFormat& aFormat,
-                           Handler aHandler)
+RoutesCache::RoutesCache(StoreClient& aStore,
+                         const DirectoryFormat& aFormat,
+                         Handler aHandler)
   : store(aStore)
   , format(aFormat)
   , handler(std::move(aHandler))
@@ -14,20 +14,20 @@
 }
 
 void
-RoutesKeeper::Start()
+RoutesCache::Start()
 {
   this->watch = this->store.Watch(this->format.RoutesPrefix(), *this);
 }
 
 void
-RoutesKeeper::Rearm()
+RoutesCache::Rearm()
 {
   this->watch->Rearm();
 }
 
 void
-RoutesKeeper::OnSnapshot(Revision /*aRevision*/,
-                         std::span<const KeyValue> aValues)
+RoutesCache::OnSnapshot(Revision /*aRevision*/,
+                        std::span<const KeyValue> aValues)
 {
   this->OnContact();
   for (const KeyValue& value : aValues) {
@@ -36,8 +36,8 @@
 }
 
 void
-RoutesKeeper::OnChanges(Revision /*aRevision*/,
-                        std::span<const StoreChange> aChanges)
+RoutesCache::OnChanges(Revision /*aRevision*/,
+                       std::span<const StoreChange> aChanges)
 {
   this->OnContact();
   for (const StoreChange& change : aChanges) {
@@ -48,7 +48,7 @@
 }
 
 void
-RoutesKeeper::OnContact()
+RoutesCache::OnContact()
 {
   this->heardAt = Now();
   if (!std::exchange(this->isWatching, true)) {
@@ -57,7 +57,7 @@
 }
 
 void
-RoutesKeeper::OnLost(const absl::Status& aReason)
+RoutesCache::OnLost(const absl::Status& aReason)
 {
   if (std::exchange(this->isWatching, false)) {
     Log(LogLevel::Warning,
@@ -70,7 +70,7 @@
 }
 
 bool
-RoutesKeeper::Apply(std::string_view aDocument, std::string_view aFrom)
+RoutesCache::Apply(std::string_view aDocument, std::string_view aFrom)
 {
   this->bytesRead += aDocument.size();
   if (aDocument == this->document) {
@@ -123,13 +123,13 @@
 }
 
 Duration
-RoutesKeeper::Age(TimePoint aNow) const
+RoutesCache::Age(TimePoint aNow) const
 {
   return Between(this->heardAt, aNow);
 }
 
 const std::string&
-RoutesKeeper::CompressedDocument()
+RoutesCache::CompressedDocument()
 {
   if (this->compressed.empty()) {
     this->compressed = Compress(this->document);
--- a/dogwoodvale/src/Gateway/RoutesKeeper.h
+++ b/dogwoodvale/src/Gateway/RoutesCache.h
@@ -1,5 +1,5 @@
-#ifndef DOGWOODVALE_GATEWAY_ROUTESKEEPER_H
-#define DOGWOODVALE_GATEWAY_ROUTESKEEPER_H
+#ifndef DOGWOODVALE_GATEWAY_ROUTESCACHE_H
+#define DOGWOODVALE_GATEWAY_ROUTESCACHE_H
 
 #include <functional>
 #include <memory>
@@ -13,15 +13,15 @@
 ///
 /// Only a higher version is accepted, so that a store that was restored from
 /// older data, or a gateway that is behind, can't undo a change.
-class RoutesKeeper final : public StoreWatchHandler
+class RoutesCache final : public StoreWatchHandler
 {
 public:
   using Handler = std::function<void(std::shared_ptr<const RouteTable>)>;
 
   /// \param aHandler is called for each higher version.
-  RoutesKeeper(StoreClient& aStore,
-               const DirectoryFormat& aFormat,
-               Handler aHandler);
+  RoutesCache(StoreClient& aStore,
+              const DirectoryFormat& aFormat,
+              Handler aHandler);
 
   void Start();
   /// Renews the watch, e.g. after the process was suspended.
--- a/dogwoodvale/src/Gateway/RoutesCatchUp.cpp
+++ b/dogwoodvale/src/Gateway/RoutesCatchUp.cpp
@@ -6,9 +6,9 @@
 namespace dogwoodvale {
 
 void
-RoutesCatchUp::OnTold(const SocketAddress& aGateway,
-                      Epoch aVersion,
-                      TimePoint aNow)
+RoutesCatchUp::OnPeerVersion(const SocketAddress& aGateway,
+                             Epoch aVersion,
+                             TimePoint aNow)
 {
   if (aVersion == 0) {
     return;
@@ -73,7 +73,7 @@
     return std::nullopt;
   }
   const bool awaitsStore = this->isWatching && this->inForce != 0;
-  if (awaitsStore && this->BehindFor(aNow) < kStoreFirst) {
+  if (awaitsStore && this->BehindFor(aNow) < kStoreGrace) {
     return std::nullopt;
   }
   const Epoch newest = this->Newest(aNow);
@@ -99,7 +99,7 @@
   this->isAsking = false;
   const auto found = this->peers.find(aGateway);
   if (!aTaken && found != this->peers.end()) {
-    found->second.backoffUntil = aNow + kAvoidFor;
+    found->second.backoffUntil = aNow + kPeerBackoff;
   }
 }
 
--- a/dogwoodvale/src/Gateway/RoutesCatchUp.h
+++ b/dogwoodvale/src/Gateway/RoutesCatchUp.h
@@ -20,7 +20,9 @@
 {
 public:
   /// Another gateway reports its version; 0 is ignored.
-  void OnTold(const SocketAddress& aGateway, Epoch aVersion, TimePoint aNow);
+  void OnPeerVersion(const SocketAddress& aGateway,
+                     Epoch aVersion,
+                     TimePoint aNow);
   /// A version came into force here.
   void OnInForce(Epoch aVersion);
   /// Whether the store's watch is established, as far as is known.
@@ -47,9 +49,9 @@
 
   /// While the watch is established, how long to wait for the store to deliver
   /// a new version before it is requested from a gateway.
-  static constexpr Duration kStoreFirst = milliseconds(300);
+  static constexpr Duration kStoreGrace = milliseconds(300);
   /// Back-off for a gateway whose answer brought nothing new.
-  static constexpr Duration kAvoidFor = seconds(1);
+  static constexpr Duration kPeerBackoff = seconds(1);
   /// How long a reported version is valid after the gateway's last digest.
   static constexpr Duration kVersionTtl = seconds(3);
 
--- a/dogwoodvale/src/Gateway/ServerNeeds.cpp
+++ b/dogwoodvale/src/Gateway/ServerBackpressure.cpp
@@ -1,4 +1,4 @@
-#include "ServerNeeds.h"
+#include "ServerBackpressure.h"
 
 #include <utility>
 
@@ -64,27 +64,28 @@
 
 } // namespace
 
-ServerNeeds::ServerNeeds(InstanceName aSelf)
+ServerBackpressure::ServerBackpressure(InstanceName aSelf)
   : rates(std::move(aSelf), GatewayRoster::kPeriod + kRosterSlack)
 {
 }
 
 void
-ServerNeeds::SetGateways(std::span<const InstanceName> aNames, TimePoint aNow)
+ServerBackpressure::SetGateways(std::span<const InstanceName> aNames,
+                                TimePoint aNow)
 {
   this->rates.Allocator().SetGateways(aNames, aNow);
 }
 
 void
-ServerNeeds::OnSuspended(TimePoint aNow)
+ServerBackpressure::OnSuspended(TimePoint aNow)
 {
-  this->rates.Allocator().Distrust(aNow);
+  this->rates.Allocator().SuspendShares(aNow);
 }
 
 void
-ServerNeeds::OnNotice(const InstanceName& aServer,
-                      const BackpressureNotice& aNotice,
-                      TimePoint aNow)
+ServerBackpressure::OnNotice(const InstanceName& aServer,
+                             const BackpressureNotice& aNotice,
+                             TimePoint aNow)
 {
   if (!aNotice.isMalformed) {
     this->malformed.erase(aServer);
@@ -97,10 +98,10 @@
   if (aNotice.isLeaving && this->leaving.OnAnswer(aServer, aNow)) {
     LogLeaving(aServer, "answer", milliseconds(0));
   }
-  if (!aNotice.restFor) {
+  if (!aNotice.backoffFor) {
     this->rests.OnAnswer(aServer, aNow);
-  } else if (this->rests.OnRefused(aServer, *aNotice.restFor, aNow)) {
-    LogRest(aServer, *aNotice.restFor);
+  } else if (this->rests.OnRefused(aServer, *aNotice.backoffFor, aNow)) {
+    LogRest(aServer, *aNotice.backoffFor);
   }
   if (const auto change =
         this->rates.OnAnswer(aServer, aNotice.rateLimit, aNow)) {
@@ -110,25 +111,26 @@
 }
 
 void
-ServerNeeds::AddToDigest(PeerDigest& aDigest, TimePoint aNow) const
+ServerBackpressure::AddToDigest(PeerDigest& aDigest, TimePoint aNow) const
 {
   aDigest.rates = this->rates.OutgoingUpdates(aNow);
   aDigest.leaving = this->leaving.OutgoingUpdates(aNow);
 }
 
 void
-ServerNeeds::ApplyDigest(const PeerDigest& aDigest,
-                  const std::function<bool(const InstanceName&)>& aIsUsed,
-                  TimePoint aNow)
+ServerBackpressure::ApplyDigest(
+  const PeerDigest& aDigest,
+  const std::function<bool(const InstanceName&)>& aIsUsed,
+  TimePoint aNow)
 {
   // Departures of servers that are not listed are recorded too: a list that
   // arrives later may be older than the report.
-  for (const LeavingNews& news : aDigest.leaving) {
+  for (const LeavingUpdate& news : aDigest.leaving) {
     if (this->leaving.OnUpdate(news, aNow)) {
       LogLeaving(news.server, aDigest.gateway.Value(), news.age);
     }
   }
-  for (const RateNews& news : aDigest.rates) {
+  for (const RateUpdate& news : aDigest.rates) {
     if (!aIsUsed(news.server)) {
       continue;
     }
@@ -143,7 +145,7 @@
 }
 
 void
-ServerNeeds::Forget(const InstanceName& aServer)
+ServerBackpressure::Forget(const InstanceName& aServer)
 {
   this->rates.Forget(aServer);
   this->rests.Forget(aServer);
@@ -151,9 +153,9 @@
 }
 
 bool
-ServerNeeds::MaySend(const InstanceName& aServer,
-                     std::size_t aCells,
-                     TimePoint aNow)
+ServerBackpressure::MaySend(const InstanceName& aServer,
+                            std::size_t aCells,
+                            TimePoint aNow)
 {
   return !this->leaving.Contains(aServer) &&
          this->rests.MaySend(aServer, aNow) &&
@@ -161,21 +163,21 @@
 }
 
 void
-ServerNeeds::OnSent(const InstanceName& aServer,
-                    std::size_t aCells,
-                    TimePoint aNow)
+ServerBackpressure::OnSent(const InstanceName& aServer,
+                           std::size_t aCells,
+                           TimePoint aNow)
 {
   this->rests.OnSent(aServer, aNow);
   this->rates.OnSent(aServer, aCells, aNow);
 }
 
 Duration
-ServerNeeds::UntilFree(const InstanceName& aServer,
-                       std::size_t aCells,
-                       TimePoint aNow)
+ServerBackpressure::UntilFree(const InstanceName& aServer,
+                              std::size_t aCells,
+                              TimePoint aNow)
 {
   return std::max(this->rests.UntilFree(aServer, aNow),
-                  this->rates.UntilRoom(aServer, aCells, aNow));
+                  this->rates.UntilAllowed(aServer, aCells, aNow));
 }
 
 } // namespace dogwoodvale
--- a/dogwoodvale/src/Gateway/ServerNeeds.h
+++ b/dogwoodvale/src/Gateway/ServerBackpressure.h
@@ -1,5 +1,5 @@
-#ifndef DOGWOODVALE_GATEWAY_SERVERNEEDS_H
-#define DOGWOODVALE_GATEWAY_SERVERNEEDS_H
+#ifndef DOGWOODVALE_GATEWAY_SERVERBACKPRESSURE_H
+#define DOGWOODVALE_GATEWAY_SERVERBACKPRESSURE_H
 
 #include <functional>
 #include <set>
@@ -12,10 +12,10 @@
 /// Backpressure that backend servers have signalled in their answers, to this
 /// or another gateway: rate limits, back-offs and departures. Decides whether a
 /// request may be sent to a server.
-class ServerNeeds
+class ServerBackpressure
 {
 public:
-  explicit ServerNeeds(InstanceName aSelf);
+  explicit ServerBackpressure(InstanceName aSelf);
 
   void SetGateways(std::span<const InstanceName> aNames, TimePoint aNow);
   /// This process was suspended: its list of gateways may be outdated.
@@ -31,14 +31,14 @@
   /// other servers are ignored, as the state of a server that is not listed
   /// would never be freed.
   void ApplyDigest(const PeerDigest& aDigest,
-            const std::function<bool(const InstanceName&)>& aIsUsed,
-            TimePoint aNow);
+                   const std::function<bool(const InstanceName&)>& aIsUsed,
+                   TimePoint aNow);
   /// Frees the state of a server that is no longer listed.
   void Forget(const InstanceName& aServer);
 
   ServerRates& Rates() { return this->rates; }
   const ServerRates& Rates() const { return this->rates; }
-  const ServerRests& Rests() const { return this->rests; }
+  const ServerBackoffs& Rests() const { return this->rests; }
   /// Whether the server's signals allow a request from this gateway now.
   /// \param aCells number of cells of the site; 1 for a server that gateways of
   /// all cells use.
@@ -58,7 +58,7 @@
 private:
   ServerRates rates;
   LeavingServers leaving;
-  ServerRests rests;
+  ServerBackoffs rests;
   /// Servers whose last notice was malformed.
   std::set<InstanceName> malformed;
 };
--- a/dogwoodvale/src/Gateway/CopyWait.cpp
+++ b/dogwoodvale/src/Gateway/SuspectWait.cpp
@@ -1,15 +1,15 @@
-#include "CopyWait.h"
+#include "SuspectWait.h"
 
 #include <utility>
 
 namespace dogwoodvale {
 
 std::optional<Duration>
-CopyWait::Next(const CrashGuard& aGuard,
-               RequestFingerprint aRequest,
-               bool aIsNew,
-               TimePoint aNow,
-               std::mt19937_64& aRandom)
+SuspectWait::Next(const CrashGuard& aGuard,
+                  RequestFingerprint aRequest,
+                  bool aIsNew,
+                  TimePoint aNow,
+                  std::mt19937_64& aRandom)
 {
   const bool hasToWait = aGuard.HasToWait(aRequest, aIsNew);
   if (hasToWait && !this->since) {
--- a/dogwoodvale/src/Gateway/CopyWait.h
+++ b/dogwoodvale/src/Gateway/SuspectWait.h
@@ -1,5 +1,5 @@
-#ifndef DOGWOODVALE_GATEWAY_COPYWAIT_H
-#define DOGWOODVALE_GATEWAY_COPYWAIT_H
+#ifndef DOGWOODVALE_GATEWAY_SUSPECTWAIT_H
+#define DOGWOODVALE_GATEWAY_SUSPECTWAIT_H
 
 #include <optional>
 #include <random>
@@ -15,7 +15,7 @@
 /// times before the digests have told them of the crashes; with the delay it is
 /// 10, the number that arrives before the first crash (test CrashingRequest). A
 /// suspected request is never refused: after kMaxWait it is sent.
-class CopyWait
+class SuspectWait
 {
 public:
   /// \param aIsNew see CrashGuard::HasToWait().
--- a/dogwoodvale/src/Gateway/SuspensionWatch.cpp
+++ b/dogwoodvale/src/Gateway/SuspensionDetector.cpp
@@ -1,11 +1,11 @@
-#include "SuspensionWatch.h"
+#include "SuspensionDetector.h"
 
 #include <algorithm>
 #include <utility>
 
 namespace dogwoodvale {
 
-SuspensionWatch::SuspensionWatch(EventLoop& aLoop, Handler aHandler)
+SuspensionDetector::SuspensionDetector(EventLoop& aLoop, Handler aHandler)
   : handler(std::move(aHandler))
   , suspendedBefore(SuspendedTime())
   , lastCheck(Now())
@@ -15,7 +15,7 @@
 }
 
 void
-SuspensionWatch::Check()
+SuspensionDetector::Check()
 {
   const TimePoint now = Now();
   const Duration suspended = SuspendedTime();
--- a/dogwoodvale/src/Gateway/SuspensionWatch.h
+++ b/dogwoodvale/src/Gateway/SuspensionDetector.h
@@ -1,5 +1,5 @@
-#ifndef DOGWOODVALE_GATEWAY_SUSPENSIONWATCH_H
-#define DOGWOODVALE_GATEWAY_SUSPENSIONWATCH_H
+#ifndef DOGWOODVALE_GATEWAY_SUSPENSIONDETECTOR_H
+#define DOGWOODVALE_GATEWAY_SUSPENSIONDETECTOR_H
 
 #include <functional>
 
@@ -12,13 +12,13 @@
 /// The steady clock does not advance while the machine is suspended, so cached
 /// state looks fresh though it is old. The boot-time clock does advance; the
 /// difference between the two grows by the time of the suspension.
-class SuspensionWatch
+class SuspensionDetector
 {
 public:
   /// \param aLost how long the process was suspended.
   using Handler = std::function<void(Duration aLost)>;
 
-  SuspensionWatch(EventLoop& aLoop, Handler aHandler);
+  SuspensionDetector(EventLoop& aLoop, Handler aHandler);
 
   /// Shorter suspensions are not reported; no cached state becomes stale in
   /// them.
--- a/dogwoodvale/src/Gateway/UsageDuty.cpp
+++ b/dogwoodvale/src/Gateway/UsageAccounting.cpp
@@ -1,4 +1,4 @@
-#include "UsageDuty.h"
+#include "UsageAccounting.h"
 
 #include <algorithm>
 #include <charconv>
@@ -25,12 +25,12 @@
 
 } // namespace
 
-UsageDuty::UsageDuty(EventLoop& aLoop,
-                     StoreClient& aStore,
-                     UsagePort* aPort,
-                     const InstanceName& aSelf,
-                     Incarnation aIncarnation,
-                     const DutySettings& aSettings)
+UsageAccounting::UsageAccounting(EventLoop& aLoop,
+                                 StoreClient& aStore,
+                                 UsagePort* aPort,
+                                 const InstanceName& aSelf,
+                                 Incarnation aIncarnation,
+                                 const DutySettings& aSettings)
   : self(aSelf)
   , schedule({ aSettings.usageWindow, aSettings.usageDue })
   , ledger({ aSelf, aIncarnation })
@@ -48,26 +48,26 @@
 }
 
 milliseconds
-UsageDuty::TrueTime(TimePoint aNow) const
+UsageAccounting::AgreedTime(TimePoint aNow) const
 {
-  return this->clocks.TrueTime(TimeOfDay(), aNow);
+  return this->clocks.AgreedTime(TimeOfDay(), aNow);
 }
 
 WindowId
-UsageDuty::LastEnded(TimePoint aNow) const
+UsageAccounting::LastEnded(TimePoint aNow) const
 {
-  return this->schedule.WindowAt(this->TrueTime(aNow)) - 1;
+  return this->schedule.WindowAt(this->AgreedTime(aNow)) - 1;
 }
 
 void
-UsageDuty::Count(const CustomerName& aCustomer, TimePoint aBegan)
+UsageAccounting::Count(const CustomerName& aCustomer, TimePoint aBegan)
 {
   if (!this->IsOn() || aCustomer.IsEmpty()) {
     return;
   }
   const TimePoint now = Now();
   const milliseconds began =
-    this->TrueTime(now) -
+    this->AgreedTime(now) -
     std::chrono::duration_cast<milliseconds>(Between(aBegan, now));
   this->ledger.Count(this->schedule.WindowAt(began), aCustomer);
 }
@@ -75,9 +75,9 @@
 // Counts of the other gateways.
 
 void
-UsageDuty::SetGateways(std::span<const GatewayMember> aGateways,
-                       std::size_t aCells,
-                       std::size_t aOwnCell)
+UsageAccounting::SetGateways(std::span<const GatewayMember> aGateways,
+                             std::size_t aCells,
+                             std::size_t aOwnCell)
 {
   this->gateways.assign(aGateways.begin(), aGateways.end());
   this->cells = aCells;
@@ -85,20 +85,20 @@
 }
 
 void
-UsageDuty::AddToDigest(PeerDigest& aDigest)
+UsageAccounting::AddToDigest(PeerDigest& aDigest)
 {
   if (!this->IsOn()) {
     return;
   }
   const TimePoint now = Now();
   aDigest.usage.timeOfDay = TimeOfDay();
-  aDigest.usage.trueTime = this->TrueTime(now);
+  aDigest.usage.agreedTime = this->AgreedTime(now);
   aDigest.usage.isReporter = this->reporter->IsActive(now);
   aDigest.usage.counts = this->ledger.OutgoingUpdates();
 }
 
 void
-UsageDuty::ApplyDigest(const PeerDigest& aDigest)
+UsageAccounting::ApplyDigest(const PeerDigest& aDigest)
 {
   // Gateways of another cell send a digest now and then.
   const bool isOfCell =
@@ -109,25 +109,25 @@
   const TimePoint now = Now();
   this->clocks.OnClockSample(aDigest.gateway, aDigest.usage.timeOfDay, now);
   this->ledger.OnUpdate({ aDigest.gateway, aDigest.incarnation },
-                    aDigest.usage.counts);
-  this->lastReports[aDigest.gateway] = { aDigest.usage.trueTime, now };
+                        aDigest.usage.counts);
+  this->lastReports[aDigest.gateway] = { aDigest.usage.agreedTime, now };
   this->reporter->OnHeartbeat(aDigest.gateway, aDigest.usage.isReporter, now);
 }
 
 std::string
-UsageDuty::Document() const
+UsageAccounting::Document() const
 {
   UsageDocument document;
   document.since = this->since;
-  document.writtenAt = this->TrueTime(Now());
+  document.writtenAt = this->AgreedTime(Now());
   document.sources = this->ledger.All();
   return WriteUsageDocument(document);
 }
 
 void
-UsageDuty::TakeDocument(std::string_view aPath,
-                        std::string_view aDocument,
-                        const SocketAddress& aFrom)
+UsageAccounting::ApplyDocument(std::string_view aPath,
+                               std::string_view aDocument,
+                               const SocketAddress& aFrom)
 {
   const std::string_view number = aPath.substr(kPath.size());
   std::size_t cell = 0;
@@ -163,26 +163,27 @@
 // Reporting.
 
 void
-UsageDuty::RunMaintenance(PeerExchange& aPeers, std::mt19937_64& aRandom)
+UsageAccounting::RunMaintenance(PeerExchange& aPeers, std::mt19937_64& aRandom)
 {
   if (!this->IsOn()) {
     return;
   }
   const TimePoint now = Now();
-  const milliseconds trueTime = this->TrueTime(now);
+  const milliseconds agreedTime = this->AgreedTime(now);
   if (this->since.count() == 0) {
-    this->since = trueTime;
+    this->since = agreedTime;
   }
   std::erase_if(this->lastReports, [now](const auto& aItem) {
     return Between(aItem.second.receivedAt, now) > kPeerTimeout;
   });
-  this->ledger.DropBefore(this->schedule.WindowAt(trueTime) - kWindowsKept);
+  this->ledger.DropBefore(this->schedule.WindowAt(agreedTime) - kWindowsKept);
   this->RequestMissingCounts(aPeers, aRandom);
-  this->reporter->RunMaintenance(now, trueTime, this->ownCell == 0, *this);
+  this->reporter->RunMaintenance(now, agreedTime, this->ownCell == 0, *this);
 }
 
 void
-UsageDuty::RequestMissingCounts(PeerExchange& aPeers, std::mt19937_64& aRandom)
+UsageAccounting::RequestMissingCounts(PeerExchange& aPeers,
+                                      std::mt19937_64& aRandom)
 {
   const TimePoint now = Now();
   const bool isStarting = Between(this->startedAt, now) < kStartDuration;
@@ -195,7 +196,7 @@
   }
   const milliseconds needed =
     this->schedule.EndOf(this->LastEnded(now)) + kSettleDelay;
-  const bool isOver = this->TrueTime(now) >= needed;
+  const bool isOver = this->AgreedTime(now) >= needed;
   for (std::size_t cell = 0; cell < this->cells && isOver; ++cell) {
     if (cell != this->ownCell && this->cellsKnownTo[cell] < needed) {
       this->RequestFromCell(cell, aPeers, aRandom);
@@ -204,9 +205,9 @@
 }
 
 void
-UsageDuty::RequestFromCell(std::size_t aCell,
-                           PeerExchange& aPeers,
-                           std::mt19937_64& aRandom)
+UsageAccounting::RequestFromCell(std::size_t aCell,
+                                 PeerExchange& aPeers,
+                                 std::mt19937_64& aRandom)
 {
   const TimePoint now = Now();
   if (Between(this->requestedAt[aCell], now) < kRequestPeriod) {
@@ -228,7 +229,7 @@
 }
 
 void
-UsageDuty::Stop()
+UsageAccounting::Stop()
 {
   if (this->IsOn()) {
     this->reporter->Stop();
@@ -236,7 +237,7 @@
 }
 
 UsageKnowledge
-UsageDuty::KnowledgeOf(WindowId aWindow) const
+UsageAccounting::KnowledgeOf(WindowId aWindow) const
 {
   if (this->since > this->schedule.BeginOf(aWindow)) {
     return UsageKnowledge::Unknown;
@@ -259,15 +260,15 @@
 }
 
 UsageCounts
-UsageDuty::CountsOf(WindowId aWindow) const
+UsageAccounting::CountsOf(WindowId aWindow) const
 {
   return this->ledger.CountsOf(aWindow);
 }
 
 std::size_t
-UsageDuty::Backlog() const
+UsageAccounting::Backlog() const
 {
-  return this->IsOn() ? this->reporter->Plan().Backlog(this->TrueTime(Now()))
+  return this->IsOn() ? this->reporter->Plan().Backlog(this->AgreedTime(Now()))
                       : 0;
 }
 
--- a/dogwoodvale/src/Gateway/UsageDuty.h
+++ b/dogwoodvale/src/Gateway/UsageAccounting.h
@@ -1,5 +1,5 @@
-#ifndef DOGWOODVALE_GATEWAY_USAGEDUTY_H
-#define DOGWOODVALE_GATEWAY_USAGEDUTY_H
+#ifndef DOGWOODVALE_GATEWAY_USAGEACCOUNTING_H
+#define DOGWOODVALE_GATEWAY_USAGEACCOUNTING_H
 
 #include <map>
 #include <memory>
@@ -18,16 +18,16 @@
 /// The reporting gateway is one of the first cell, whose gateways receive each
 /// other's counts. For each other cell it requests the counts from one of its
 /// gateways, which has received those of the whole cell.
-class UsageDuty final : public UsageView
+class UsageAccounting final : public UsageView
 {
 public:
   /// \param aPort null if no usage is to be reported; then nothing is counted.
-  UsageDuty(EventLoop& aLoop,
-            StoreClient& aStore,
-            UsagePort* aPort,
-            const InstanceName& aSelf,
-            Incarnation aIncarnation,
-            const DutySettings& aSettings);
+  UsageAccounting(EventLoop& aLoop,
+                  StoreClient& aStore,
+                  UsagePort* aPort,
+                  const InstanceName& aSelf,
+                  Incarnation aIncarnation,
+                  const DutySettings& aSettings);
 
   bool IsOn() const { return this->reporter != nullptr; }
   /// Counts a request that began to run at a server.
@@ -49,9 +49,9 @@
   std::string Document() const;
   /// Merges the document of another gateway; logs and ignores a malformed one.
   /// \param aPath the requested path: kPath and the number of the cell.
-  void TakeDocument(std::string_view aPath,
-                    std::string_view aDocument,
-                    const SocketAddress& aFrom);
+  void ApplyDocument(std::string_view aPath,
+                     std::string_view aDocument,
+                     const SocketAddress& aFrom);
 
   UsageKnowledge KnowledgeOf(WindowId aWindow) const override;
   UsageCounts CountsOf(WindowId aWindow) const override;
@@ -66,7 +66,7 @@
 
 private:
   /// The time on which the gateways agree, since 1970; see TimeAgreement.
-  milliseconds TrueTime(TimePoint aNow) const;
+  milliseconds AgreedTime(TimePoint aNow) const;
   /// Requests counts that this gateway did not receive.
   void RequestMissingCounts(PeerExchange& aPeers, std::mt19937_64& aRandom);
   /// Requests the document of a random gateway of the cell, at most once per
--- a/dogwoodvale/src/Gateway/UsageDocument.cpp
+++ b/dogwoodvale/src/Gateway/UsageDocument.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 Json::Value
-ToJson(const UsageSource& aSource, const UsageNews& aNews)
+ToJson(const UsageSource& aSource, const UsageUpdate& aNews)
 {
   Json::Value value;
   value["process"] = aSource.process.Value();
@@ -28,7 +28,7 @@
   UsageSource source;
   source.process = InstanceName(fields.Text("process"));
   source.incarnation = fields.Whole("incarnation");
-  UsageNews news;
+  UsageUpdate news;
   news.window = fields.Int("window");
   news.total = fields.Whole("total");
   if (!fields.Status().ok()) {
@@ -58,7 +58,7 @@
   document["written_ms"] = Json::Int64(aDocument.writtenAt.count());
   Json::Value& lines = document["lines"] = Json::arrayValue;
   for (const auto& [source, windows] : aDocument.sources) {
-    for (const UsageNews& news : windows) {
+    for (const UsageUpdate& news : windows) {
       lines.append(ToJson(source, news));
     }
   }
--- a/dogwoodvale/src/Gateway/UsageDocument.h
+++ b/dogwoodvale/src/Gateway/UsageDocument.h
@@ -19,7 +19,7 @@
   /// Agreed time at which it was written.
   milliseconds writtenAt{ 0 };
   /// Counts by the process that made them.
-  std::map<UsageSource, std::vector<UsageNews>> sources;
+  std::map<UsageSource, std::vector<UsageUpdate>> sources;
 };
 
 std::string
--- a/dogwoodvale/src/Gateway/WarmStart.cpp
+++ b/dogwoodvale/src/Gateway/WarmStart.cpp
@@ -7,7 +7,7 @@
 
 WarmStart::WarmStart(const InstanceName& aSelf,
                      StoreClient& aStore,
-                     DirectoryKeeper& aDirectory,
+                     DirectoryCache& aDirectory,
                      BackendPool& aPool,
                      Options aOptions)
   : store(aStore)
@@ -59,7 +59,7 @@
   state.services = this->pool.Estimates();
   const std::size_t servers = std::max<std::size_t>(this->pool.Count(), 1);
   state.caches = this->pool.Caches().MostRecentlyUsed(
-    std::min(WarmState::kMostStepsOfOne, WarmState::kMaxSteps / servers));
+    std::min(WarmState::kMaxStepsPerServer, WarmState::kMaxSteps / servers));
   return state;
 }
 
@@ -98,8 +98,8 @@
       "since_start_ms",
       WholeMillis(Between(this->startedAt, now)));
   this->hasDocument = this->hasDocument || aFrom != "store";
-  this->directory.Roster().TakeHints(state->gateways, now);
-  this->directory.TakeHints(state->instances, now);
+  this->directory.Roster().ApplyHints(state->gateways, now);
+  this->directory.ApplyHints(state->instances, now);
   this->pool.Seed(state->services, now);
   this->caches = state->caches;
   this->SeedCaches();
--- a/dogwoodvale/src/Gateway/WarmStart.h
+++ b/dogwoodvale/src/Gateway/WarmStart.h
@@ -3,7 +3,7 @@
 
 #include <memory>
 
-#include "DirectoryKeeper.h"
+#include "DirectoryCache.h"
 #include "WarmState.h"
 
 namespace dogwoodvale {
@@ -24,7 +24,7 @@
 
   WarmStart(const InstanceName& aSelf,
             StoreClient& aStore,
-            DirectoryKeeper& aDirectory,
+            DirectoryCache& aDirectory,
             BackendPool& aPool,
             Options aOptions);
 
@@ -60,7 +60,7 @@
   void SeedCaches();
 
   StoreClient& store;
-  DirectoryKeeper& directory;
+  DirectoryCache& directory;
   BackendPool& pool;
   Options options;
   /// Elects the gateway that writes.
--- a/dogwoodvale/src/Gateway/WarmState.cpp
+++ b/dogwoodvale/src/Gateway/WarmState.cpp
@@ -97,7 +97,7 @@
   for (const GatewayMember& one : aState.gateways) {
     packed.gateways.push_back({ one.name.Value(), one.peers.ToString() });
   }
-  for (const ServiceLearning& one : aState.services) {
+  for (const ServiceEstimates& one : aState.services) {
     packed.services.push_back({ one.service.Value(),
                                 one.reading.meanTokens,
                                 one.reading.tokensPerMicro,
--- a/dogwoodvale/src/Gateway/WarmState.h
+++ b/dogwoodvale/src/Gateway/WarmState.h
@@ -23,12 +23,12 @@
 {
   std::vector<DirectInstance> instances;
   std::vector<GatewayMember> gateways;
-  std::vector<ServiceLearning> services;
+  std::vector<ServiceEstimates> services;
   /// Prompt steps that each server probably has cached, the latest first.
   std::vector<std::pair<InstanceName, std::vector<PromptStep>>> caches;
 
   /// Most steps of one server.
-  static constexpr std::size_t kMostStepsOfOne = 64;
+  static constexpr std::size_t kMaxStepsPerServer = 64;
   /// Most steps of all servers together.
   static constexpr std::size_t kMaxSteps = 16'384;
 };
--- a/dogwoodvale/src/Membership/BackendDirectory.cpp
+++ b/dogwoodvale/src/Membership/BackendDirectory.cpp
@@ -229,7 +229,7 @@
 }
 
 std::vector<InstanceName>
-BackendDirectory::DueForTrial(const ServiceName& aService, TimePoint aNow) const
+BackendDirectory::DueForProbe(const ServiceName& aService, TimePoint aNow) const
 {
   std::vector<InstanceName> names;
   for (const auto& [name, entry] : this->entries) {
--- a/dogwoodvale/src/Membership/BackendDirectory.h
+++ b/dogwoodvale/src/Membership/BackendDirectory.h
@@ -85,7 +85,7 @@
   bool MayConnect(const InstanceName& aName, TimePoint aNow) const;
   /// Leaving, unconnected instances whose probe is due. The caller connects to
   /// find out whether a new incarnation is running there.
-  std::vector<InstanceName> DueForTrial(const ServiceName& aService,
+  std::vector<InstanceName> DueForProbe(const ServiceName& aService,
                                         TimePoint aNow) const;
 
   /// \return nullptr if unknown.
--- a/dogwoodvale/src/Peer/ConfigurationMessages.h
+++ b/dogwoodvale/src/Peer/ConfigurationMessages.h
@@ -6,7 +6,7 @@
 
 namespace dogwoodvale {
 
-/// The message forms of what ConfigurationKeeper exchanges.
+/// The message forms of what ConfigurationManager exchanges.
 ConfigurationReply
 ToReply(ConfigurationBundle aBundle);
 ConfigurationBundle
--- a/dogwoodvale/src/Placement/CacheFetch.cpp
+++ b/dogwoodvale/src/Placement/CacheFetch.cpp
@@ -61,7 +61,7 @@
   static bool IsSource(const DirectCandidate& aCandidate,
                        const DirectCandidate& aChosen)
   {
-    return aCandidate.healthState == Standing::InService &&
+    return aCandidate.healthState == HealthState::InService &&
            aCandidate.cachedTokens >= aChosen.cachedTokens + kMinFetchedTokens;
   }
 
--- a/dogwoodvale/src/Placement/CacheBelief.cpp
+++ b/dogwoodvale/src/Placement/CacheTracker.cpp
@@ -1,4 +1,4 @@
-#include "CacheBelief.h"
+#include "CacheTracker.h"
 
 #include <algorithm>
 #include <iterator>
@@ -6,9 +6,9 @@
 namespace dogwoodvale {
 
 void
-CacheBelief::OnUsed(const InstanceName& aServer,
-                    std::span<const PromptStep> aSteps,
-                    std::uint64_t aCapacity)
+CacheTracker::OnUsed(const InstanceName& aServer,
+                     std::span<const PromptStep> aSteps,
+                     std::uint64_t aCapacity)
 {
   Cache& cache = this->caches[aServer];
   // In reverse, so that the first step is the most recently used: the engine
@@ -24,7 +24,7 @@
 }
 
 void
-CacheBelief::Use(Cache& aCache, const PromptStep& aStep)
+CacheTracker::Use(Cache& aCache, const PromptStep& aStep)
 {
   const auto known = aCache.positions.find(aStep.hash);
   if (known != aCache.positions.end()) {
@@ -37,7 +37,7 @@
 }
 
 void
-CacheBelief::EvictOldest(Cache& aCache)
+CacheTracker::EvictOldest(Cache& aCache)
 {
   const PromptStep& oldest = aCache.steps.back();
   aCache.tokens -= oldest.tokens;
@@ -46,14 +46,14 @@
 }
 
 void
-CacheBelief::Forget(const InstanceName& aServer)
+CacheTracker::Forget(const InstanceName& aServer)
 {
   this->caches.erase(aServer);
 }
 
 std::uint32_t
-CacheBelief::TokensHeld(const InstanceName& aServer,
-                        std::span<const PromptStep> aSteps) const
+CacheTracker::CachedPrefixTokens(const InstanceName& aServer,
+                                 std::span<const PromptStep> aSteps) const
 {
   const auto found = this->caches.find(aServer);
   if (found == this->caches.end()) {
@@ -70,9 +70,9 @@
 }
 
 void
-CacheBelief::Seed(const InstanceName& aServer,
-                  std::span<const PromptStep> aSteps,
-                  std::uint64_t aCapacity)
+CacheTracker::Seed(const InstanceName& aServer,
+                   std::span<const PromptStep> aSteps,
+                   std::uint64_t aCapacity)
 {
   Cache& cache = this->caches[aServer];
   for (const PromptStep& step : aSteps) {
@@ -91,7 +91,7 @@
 }
 
 std::vector<std::pair<InstanceName, std::vector<PromptStep>>>
-CacheBelief::MostRecentlyUsed(std::size_t aMaxSteps) const
+CacheTracker::MostRecentlyUsed(std::size_t aMaxSteps) const
 {
   std::vector<std::pair<InstanceName, std::vector<PromptStep>>> latest;
   for (const auto& [server, cache] : this->caches) {
@@ -106,7 +106,7 @@
 }
 
 std::size_t
-CacheBelief::StepCount() const
+CacheTracker::StepCount() const
 {
   std::size_t count = 0;
   for (const auto& [server, cache] : this->caches) {
--- a/dogwoodvale/src/Placement/CacheBelief.h
+++ b/dogwoodvale/src/Placement/CacheTracker.h
@@ -1,5 +1,5 @@
-#ifndef DOGWOODVALE_PLACEMENT_CACHEBELIEF_H
-#define DOGWOODVALE_PLACEMENT_CACHEBELIEF_H
+#ifndef DOGWOODVALE_PLACEMENT_CACHETRACKER_H
+#define DOGWOODVALE_PLACEMENT_CACHETRACKER_H
 
 #include <cstdint>
 #include <list>
@@ -24,7 +24,7 @@
 ///
 /// The estimate is a hint: an error costs an additional prefill and does not
 /// change an answer.
-class CacheBelief
+class CacheTracker
 {
 public:
   /// The server prefills a prompt or uses the cached part of it.
@@ -37,8 +37,8 @@
 
   /// Tokens of the longest prefix of the prompt that the server probably has
   /// cached: a step counts only if all steps before it are cached.
-  std::uint32_t TokensHeld(const InstanceName& aServer,
-                           std::span<const PromptStep> aSteps) const;
+  std::uint32_t CachedPrefixTokens(const InstanceName& aServer,
+                                   std::span<const PromptStep> aSteps) const;
   /// Adds what the server probably had cached before this process started, as
   /// less recently used than the steps known already and up to \p aCapacity.
   /// \param aSteps as MostRecentlyUsed() returns them.
@@ -46,8 +46,8 @@
             std::span<const PromptStep> aSteps,
             std::uint64_t aCapacity);
   /// For each server at most \p aMaxSteps steps, most recently used first.
-  std::vector<std::pair<InstanceName, std::vector<PromptStep>>> MostRecentlyUsed(
-    std::size_t aMaxSteps) const;
+  std::vector<std::pair<InstanceName, std::vector<PromptStep>>>
+  MostRecentlyUsed(std::size_t aMaxSteps) const;
   /// Number of steps cached by all servers together.
   std::size_t StepCount() const;
 
--- a/dogwoodvale/src/Placement/DirectChoice.cpp
+++ b/dogwoodvale/src/Placement/DirectChoice.cpp
@@ -70,7 +70,7 @@
   const std::uint32_t unranked =
     work.requests -
     std::min(work.requests, work.RequestsUpTo(BackendWork::kRanks - 1));
-  const std::uint32_t ahead = work.RequestsUpTo(aDemand.turnRank) + unranked;
+  const std::uint32_t ahead = work.RequestsUpTo(aDemand.queueRank) + unranked;
   return ahead - std::min(ahead, aCandidate.slots) + 1;
 }
 
@@ -94,7 +94,7 @@
     tokens += aCandidate.recentLongTokens;
     tokens += kTokensPerRunningRequest * work.requests;
   }
-  tokens += kQueuePositionWeight * aDemand.tokensPerTurn *
+  tokens += kQueuePositionWeight * aDemand.tokensPerQueuePosition *
             QueuePositionOf(aCandidate, aDemand);
   const auto memory =
     static_cast<double>(work.memoryTokens + aDemand.promptTokens);
--- a/dogwoodvale/src/Placement/DirectChoice.h
+++ b/dogwoodvale/src/Placement/DirectChoice.h
@@ -19,26 +19,26 @@
   std::vector<PromptStep> steps;
   /// Tokens of the prompt that other requests may share.
   std::uint32_t sharedTokens = 0;
-  /// Scheduling priority, 0 first, see OrderPlaces::inTime.
+  /// Scheduling priority, 0 first, see PriorityLevels::inTime.
   std::uint32_t rank = 0;
   /// Priority in the queue of a full server; the last one where these queues do
   /// not distinguish ranks.
-  std::uint32_t turnRank = BackendWork::kRanks - 1;
+  std::uint32_t queueRank = BackendWork::kRanks - 1;
   /// One of the requests that cause most of the service's prefill: those that
   /// are not interactive or, in a service without interactive requests, have a
-  /// prompt longer than the mean, see PrefillFlow.
+  /// prompt longer than the mean, see PrefillStatistics.
   bool isLong = false;
   /// Its answer must not share a server with long prefill, see PauseProfile.
   bool isInteractive = false;
   /// Prefill tokens equivalent to one position in a full server's queue, see
-  /// PrefillFlow::TokensPerTurn().
-  double tokensPerTurn = kGuessedTokensPerTurn;
+  /// PrefillStatistics::TokensPerQueuePosition().
+  double tokensPerQueuePosition = kDefaultTokensPerQueuePosition;
   /// Tokens that a server prefills within the route's latency target; 0 until
   /// measured.
   double tokensPerTarget = 0;
 
   /// Used until the value is measured.
-  static constexpr double kGuessedTokensPerTurn = 2000.0;
+  static constexpr double kDefaultTokensPerQueuePosition = 2000.0;
 };
 
 /// State of a backend server that the choice depends on.
@@ -51,10 +51,10 @@
   std::uint32_t slots = 0;
   /// Capacity of its KV cache in tokens; 0 while unknown.
   std::uint64_t cacheTokens = 0;
-  Standing healthState = Standing::InService;
+  HealthState healthState = HealthState::InService;
   /// Tokens of this request's prompt that it probably has cached.
   std::uint32_t cachedTokens = 0;
-  /// Recently prefilled tokens of long prompts, see PrefillFlow.
+  /// Recently prefilled tokens of long prompts, see PrefillStatistics.
   double recentLongTokens = 0;
   /// Reserved for interactive requests, see ReservedServers.
   bool isReserved = false;
--- a/dogwoodvale/src/Placement/DirectChooser.cpp
+++ b/dogwoodvale/src/Placement/DirectChooser.cpp
@@ -78,8 +78,8 @@
 bool
 IsUnavailable(const DirectCandidate& aCandidate)
 {
-  return aCandidate.healthState == Standing::Ejected ||
-         (aCandidate.healthState == Standing::OnTrial &&
+  return aCandidate.healthState == HealthState::Ejected ||
+         (aCandidate.healthState == HealthState::Probing &&
           aCandidate.work.requests > 0);
 }
 
--- a/dogwoodvale/src/Placement/LoadRefusal.cpp
+++ b/dogwoodvale/src/Placement/LoadShedding.cpp
@@ -1,4 +1,4 @@
-#include "LoadRefusal.h"
+#include "LoadShedding.h"
 
 #include <algorithm>
 
--- a/dogwoodvale/src/Placement/Placer.cpp
+++ b/dogwoodvale/src/Placement/Placer.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "LoadRefusal.h"
+#include "LoadShedding.h"
 
 namespace dogwoodvale {
 
@@ -26,7 +26,7 @@
 }
 
 Duration
-WaitBehind(const PrefillFlow& aStatistics,
+WaitBehind(const PrefillStatistics& aStatistics,
            const DirectCandidate& aServer,
            std::uint64_t aTokens)
 {
@@ -84,7 +84,7 @@
 std::optional<Placement>
 Placer::Place(std::span<const DirectCandidate> aCandidates,
               const PlacementRequest& aRequest,
-              const PrefillFlow& aStatistics,
+              const PrefillStatistics& aStatistics,
               std::mt19937_64& aRandom)
 {
   const std::optional<std::size_t> chosen =
@@ -99,7 +99,7 @@
     placement.mostCachedTokens =
       std::max(placement.mostCachedTokens, candidate.cachedTokens);
   }
-  if (!aRequest.wasRead) {
+  if (!aRequest.mayHaveBeenPrefilled) {
     placement.fetch = this->fetches->SourceFor(aCandidates, *chosen, aRandom);
   }
   const std::uint32_t prefillTokens =
@@ -114,7 +114,7 @@
 Placer::SetExpectations(const DirectCandidate& aServer,
                         const PlacementRequest& aRequest,
                         std::uint32_t aPrefillTokens,
-                        const PrefillFlow& aStatistics,
+                        const PrefillStatistics& aStatistics,
                         Placement& aPlacement) const
 {
   const auto setPriority = [&](std::uint32_t aPriority) {
--- a/dogwoodvale/src/Placement/Placer.h
+++ b/dogwoodvale/src/Placement/Placer.h
@@ -8,8 +8,8 @@
 
 #include "CacheFetch.h"
 #include "DirectChooser.h"
-#include "OrderOfService.h"
-#include "PrefillFlow.h"
+#include "PrefillStatistics.h"
+#include "PriorityLevels.h"
 #include "dogwoodvale/Settings"
 
 namespace dogwoodvale {
@@ -38,7 +38,7 @@
 struct PlacementRequest
 {
   const DirectDemand& demand;
-  OrderPlaces priorities;
+  PriorityLevels priorities;
   /// The route's target for the time to the first token.
   Duration target{ 0 };
   /// Time since the request was accepted.
@@ -51,7 +51,7 @@
   bool hasBegun = false;
   /// A server may have prefilled it already. The server then fetches nothing,
   /// as a source that does not answer in time could fail a second attempt too.
-  bool wasRead = false;
+  bool mayHaveBeenPrefilled = false;
 };
 
 /// The server chosen for a request, and what is expected there.
@@ -103,7 +103,7 @@
   /// \return nothing if there is no candidate.
   std::optional<Placement> Place(std::span<const DirectCandidate> aCandidates,
                                  const PlacementRequest& aRequest,
-                                 const PrefillFlow& aStatistics,
+                                 const PrefillStatistics& aStatistics,
                                  std::mt19937_64& aRandom);
 
 private:
@@ -111,7 +111,7 @@
   void SetExpectations(const DirectCandidate& aServer,
                        const PlacementRequest& aRequest,
                        std::uint32_t aPrefillTokens,
-                       const PrefillFlow& aStatistics,
+                       const PrefillStatistics& aStatistics,
                        Placement& aPlacement) const;
 
   std::unique_ptr<DirectChooser> chooser;
--- a/dogwoodvale/src/Placement/PrefillFlow.cpp
+++ b/dogwoodvale/src/Placement/PrefillStatistics.cpp
@@ -1,4 +1,4 @@
-#include "PrefillFlow.h"
+#include "PrefillStatistics.h"
 
 #include <algorithm>
 #include <cmath>
@@ -23,7 +23,7 @@
 } // namespace
 
 void
-PrefillFlow::OnRequest(std::uint32_t aPromptTokens)
+PrefillStatistics::OnRequest(std::uint32_t aPromptTokens)
 {
   ++this->samples;
   const double weight = std::max(kSampleWeight, 1.0 / this->samples);
@@ -31,23 +31,23 @@
 }
 
 bool
-PrefillFlow::IsLong(std::uint32_t aPromptTokens) const
+PrefillStatistics::IsLong(std::uint32_t aPromptTokens) const
 {
   return this->samples >= kMinSamples && aPromptTokens > this->meanTokens;
 }
 
 double
-PrefillFlow::Decayed(const Sum& aSum, TimePoint aNow) const
+PrefillStatistics::Decayed(const Sum& aSum, TimePoint aNow) const
 {
   const double age = static_cast<double>(Between(aSum.at, aNow).count());
   return aSum.tokens *
-         std::exp(-age / static_cast<double>(this->MeanStay().count()));
+         std::exp(-age / static_cast<double>(this->MeanRequestTime().count()));
 }
 
 void
-PrefillFlow::OnLongPrompt(const InstanceName& aInstance,
-                    std::uint32_t aTokens,
-                    TimePoint aNow)
+PrefillStatistics::OnLongPrompt(const InstanceName& aInstance,
+                                std::uint32_t aTokens,
+                                TimePoint aNow)
 {
   Sum& sum = this->sums[aInstance];
   sum.tokens = this->Decayed(sum, aNow) + aTokens;
@@ -55,21 +55,22 @@
 }
 
 double
-PrefillFlow::RecentLongTokens(const InstanceName& aInstance, TimePoint aNow) const
+PrefillStatistics::RecentLongTokens(const InstanceName& aInstance,
+                                    TimePoint aNow) const
 {
   const auto found = this->sums.find(aInstance);
   return found == this->sums.end() ? 0.0 : this->Decayed(found->second, aNow);
 }
 
 void
-PrefillFlow::Forget(const InstanceName& aInstance)
+PrefillStatistics::Forget(const InstanceName& aInstance)
 {
   this->sums.erase(aInstance);
   this->speeds.erase(aInstance);
 }
 
 void
-PrefillFlow::OnStay(Duration aRequestTime)
+PrefillStatistics::OnRequestTime(Duration aRequestTime)
 {
   const auto micros = static_cast<double>(aRequestTime.count());
   this->meanStayMicros += this->meanStayMicros == 0
@@ -78,7 +79,7 @@
 }
 
 Duration
-PrefillFlow::MeanStay() const
+PrefillStatistics::MeanRequestTime() const
 {
   constexpr double kMinMicros = 1e4;
   return this->meanStayMicros == 0
@@ -88,9 +89,9 @@
 }
 
 void
-PrefillFlow::OnFirstToken(const InstanceName& aInstance,
-                          std::uint64_t aTokens,
-                          Duration aLatency)
+PrefillStatistics::OnFirstToken(const InstanceName& aInstance,
+                                std::uint64_t aTokens,
+                                Duration aLatency)
 {
   const auto tokens = static_cast<double>(aTokens);
   // The latency of short prompts is more network round trip than prefill.
@@ -106,7 +107,7 @@
 }
 
 double
-PrefillFlow::SlownessOf(const InstanceName& aInstance) const
+PrefillStatistics::SlownessOf(const InstanceName& aInstance) const
 {
   const auto found = this->speeds.find(aInstance);
   if (found == this->speeds.end() || found->second <= 0) {
@@ -116,7 +117,7 @@
 }
 
 std::optional<Duration>
-PrefillFlow::ExpectedRead(std::uint64_t aTokens) const
+PrefillStatistics::ExpectedPrefillTime(std::uint64_t aTokens) const
 {
   if (this->tokensPerMicro == 0) {
     return std::nullopt;
@@ -126,17 +127,18 @@
 }
 
 double
-PrefillFlow::TokensIn(Duration aTime) const
+PrefillStatistics::TokensIn(Duration aTime) const
 {
   return this->tokensPerMicro * static_cast<double>(aTime.count());
 }
 
 std::optional<Duration>
-PrefillFlow::HealthSample(std::uint32_t aPromptTokens,
-                          std::uint64_t aPrefillTokens,
-                          Duration aLatency) const
+PrefillStatistics::HealthSample(std::uint32_t aPromptTokens,
+                                std::uint64_t aPrefillTokens,
+                                Duration aLatency) const
 {
-  const std::optional<Duration> expected = this->ExpectedRead(aPrefillTokens);
+  const std::optional<Duration> expected =
+    this->ExpectedPrefillTime(aPrefillTokens);
   if (!this->IsLong(aPromptTokens) || !expected ||
       *expected <= Duration::zero()) {
     return std::nullopt;
@@ -148,10 +150,10 @@
 }
 
 std::optional<Duration>
-PrefillFlow::WaitBehind(const InstanceName& aInstance,
-                        std::uint64_t aTokens) const
+PrefillStatistics::WaitBehind(const InstanceName& aInstance,
+                              std::uint64_t aTokens) const
 {
-  const std::optional<Duration> expected = this->ExpectedRead(aTokens);
+  const std::optional<Duration> expected = this->ExpectedPrefillTime(aTokens);
   if (!expected) {
     return std::nullopt;
   }
@@ -160,23 +162,23 @@
 }
 
 std::optional<double>
-PrefillFlow::TokensPerTurn(std::uint32_t aSlots) const
+PrefillStatistics::TokensPerQueuePosition(std::uint32_t aSlots) const
 {
   if (this->tokensPerMicro == 0 || aSlots == 0) {
     return std::nullopt;
   }
-  return this->tokensPerMicro * static_cast<double>(this->MeanStay().count()) /
-         aSlots;
+  return this->tokensPerMicro *
+         static_cast<double>(this->MeanRequestTime().count()) / aSlots;
 }
 
-PrefillLearning
-PrefillFlow::Estimates() const
+PrefillEstimates
+PrefillStatistics::Estimates() const
 {
   return { this->meanTokens, this->tokensPerMicro, this->meanStayMicros };
 }
 
 void
-PrefillFlow::Seed(const PrefillLearning& aLearned)
+PrefillStatistics::Seed(const PrefillEstimates& aLearned)
 {
   if (this->samples < kMinSamples && aLearned.meanTokens > 0) {
     this->meanTokens = aLearned.meanTokens;
--- a/dogwoodvale/src/Placement/PrefillFlow.h
+++ b/dogwoodvale/src/Placement/PrefillStatistics.h
@@ -1,5 +1,5 @@
-#ifndef DOGWOODVALE_PLACEMENT_PREFILLFLOW_H
-#define DOGWOODVALE_PLACEMENT_PREFILLFLOW_H
+#ifndef DOGWOODVALE_PLACEMENT_PREFILLSTATISTICS_H
+#define DOGWOODVALE_PLACEMENT_PREFILLSTATISTICS_H
 
 #include <cstdint>
 #include <optional>
@@ -12,7 +12,7 @@
 
 /// Measured averages of a service's prefill, to be saved over a restart; zero
 /// for those not measured.
-struct PrefillLearning
+struct PrefillEstimates
 {
   /// Mean tokens of a prompt.
   double meanTokens = 0;
@@ -30,7 +30,7 @@
 /// answers that it generates, and each chunk stalls all of these. Answers with
 /// a bound on their pauses are late on a server that prefills one long prompt
 /// after the other, however few requests it has.
-class PrefillFlow
+class PrefillStatistics
 {
 public:
   /// Records the prompt of a request of the service.
@@ -42,19 +42,19 @@
   /// Records that a long prompt was sent to the server, which prefills
   /// \p aTokens of it.
   void OnLongPrompt(const InstanceName& aInstance,
-              std::uint32_t aTokens,
-              TimePoint aNow);
+                    std::uint32_t aTokens,
+                    TimePoint aNow);
   /// Tokens of long prompts sent to the server, decaying exponentially with the
-  /// time constant MeanStay().
+  /// time constant MeanRequestTime().
   double RecentLongTokens(const InstanceName& aInstance, TimePoint aNow) const;
   /// The server is gone: drops its statistics.
   void Forget(const InstanceName& aInstance);
 
   /// Records the time of a request of the service from start to completion.
-  void OnStay(Duration aRequestTime);
+  void OnRequestTime(Duration aRequestTime);
   /// Moving average of these times. The prefill of a server in the last such
   /// period predicts its prefill during the next request.
-  Duration MeanStay() const;
+  Duration MeanRequestTime() const;
 
   /// Records that a first token came after \p aLatency.
   /// \param aTokens tokens that the server had to prefill until then, of the
@@ -67,13 +67,13 @@
   double SlownessOf(const InstanceName& aInstance) const;
   /// Time to prefill so many tokens at the service's mean speed; nothing until
   /// the speed is measured.
-  std::optional<Duration> ExpectedRead(std::uint64_t aTokens) const;
+  std::optional<Duration> ExpectedPrefillTime(std::uint64_t aTokens) const;
   /// Tokens that a server prefills in this time at the service's mean speed; 0
   /// until the speed is measured.
   double TokensIn(Duration aTime) const;
   /// Normalises the latency of a first token so that it can be compared between
   /// servers to judge their health: 100 ms means that it took as long as
-  /// ExpectedRead().
+  /// ExpectedPrefillTime().
   ///
   /// The latency itself depends mainly on how much the server had to prefill:
   /// servers with long prompts would look slow beside the others and be ejected
@@ -91,12 +91,12 @@
                                      std::uint64_t aTokens) const;
   /// Tokens that a server prefills in the mean time until one of its slots
   /// becomes free; nothing if this is not measured or \p aSlots is 0.
-  std::optional<double> TokensPerTurn(std::uint32_t aSlots) const;
+  std::optional<double> TokensPerQueuePosition(std::uint32_t aSlots) const;
 
   /// The averages measured so far, for Seed() after a restart.
-  PrefillLearning Estimates() const;
+  PrefillEstimates Estimates() const;
   /// Takes averages measured before a restart for those not measured yet.
-  void Seed(const PrefillLearning& aLearned);
+  void Seed(const PrefillEstimates& aLearned);
 
 private:
   /// Sum of tokens, decayed to the time \c at.
--- a/dogwoodvale/src/Placement/OrderOfService.cpp
+++ b/dogwoodvale/src/Placement/PriorityLevels.cpp
@@ -1,11 +1,11 @@
-#include "OrderOfService.h"
+#include "PriorityLevels.h"
 
 #include <algorithm>
 
 namespace dogwoodvale {
 
-OrderPlaces
-PlacesOf(std::uint32_t aRank, std::uint32_t aRanks)
+PriorityLevels
+PriorityLevelsOf(std::uint32_t aRank, std::uint32_t aRanks)
 {
   constexpr std::uint32_t kPriorities = BackendWork::kRanks;
   const std::uint32_t spare = kPriorities - std::min(kPriorities, aRanks);
--- a/dogwoodvale/src/Placement/OrderOfService.h
+++ b/dogwoodvale/src/Placement/PriorityLevels.h
@@ -1,5 +1,5 @@
-#ifndef DOGWOODVALE_PLACEMENT_ORDEROFSERVICE_H
-#define DOGWOODVALE_PLACEMENT_ORDEROFSERVICE_H
+#ifndef DOGWOODVALE_PLACEMENT_PRIORITYLEVELS_H
+#define DOGWOODVALE_PLACEMENT_PRIORITYLEVELS_H
 
 #include <cstdint>
 
@@ -9,7 +9,7 @@
 
 /// Scheduling priorities at a backend server of the requests of one rank;
 /// 0 is served first.
-struct OrderPlaces
+struct PriorityLevels
 {
   /// Of requests that can meet their latency target.
   std::uint32_t inTime = 0;
@@ -22,8 +22,8 @@
 /// \param aRank of \p aRanks ranks, see RouteTable::RankOf(). There are
 /// BackendWork::kRanks priorities; those left over give a second one to the
 /// last ranks, which hold the long requests that can wait.
-OrderPlaces
-PlacesOf(std::uint32_t aRank, std::uint32_t aRanks);
+PriorityLevels
+PriorityLevelsOf(std::uint32_t aRank, std::uint32_t aRanks);
 
 } // namespace dogwoodvale
 
--- a/dogwoodvale/src/Placement/WorkTable.cpp
+++ b/dogwoodvale/src/Placement/WorkTable.cpp
@@ -131,8 +131,8 @@
 WorkTable::DropIfEmpty(const InstanceName& aInstance)
 {
   const auto found = this->entries.find(aInstance);
-  if (found != this->entries.end() && found->second.own.IsNothing() &&
-      found->second.peerWork.IsNothing()) {
+  if (found != this->entries.end() && found->second.own.IsZero() &&
+      found->second.peerWork.IsZero()) {
     this->entries.erase(found);
   }
 }
@@ -161,7 +161,7 @@
 {
   std::vector<WorkLine> lines;
   for (const auto& [name, entry] : this->entries) {
-    if (!entry.own.IsNothing()) {
+    if (!entry.own.IsZero()) {
       lines.push_back({ name, entry.own });
     }
   }
--- a/dogwoodvale/src/Placement/WorkTable.h
+++ b/dogwoodvale/src/Placement/WorkTable.h
@@ -41,7 +41,7 @@
   std::uint32_t& RequestsAt(std::uint32_t aRank);
 
   bool operator==(const BackendWork&) const = default;
-  bool IsNothing() const { return *this == BackendWork{}; }
+  bool IsZero() const { return *this == BackendWork{}; }
   BackendWork& operator+=(const BackendWork& aOther);
   BackendWork& operator-=(const BackendWork& aOther);
 };
--- a/dogwoodvale/src/Quarantine/CrashLedger.cpp
+++ b/dogwoodvale/src/Quarantine/CrashLedger.cpp
@@ -308,15 +308,15 @@
   return std::max(Between(aNow, found->second.endsAt), Duration::zero());
 }
 
-CrashStanding
+CrashStatus
 CrashLedger::StatusOf(RequestFingerprint aRequest, TimePoint aNow) const
 {
   if (this->QuarantineLeft(aRequest, aNow) > Duration::zero()) {
-    return CrashStanding::Quarantined;
+    return CrashStatus::Quarantined;
   }
   const bool isSuspect =
     this->ScoreOf(aRequest) > 0 || this->HasUnliftedVerdict(aRequest);
-  return isSuspect ? CrashStanding::Suspect : CrashStanding::Clear;
+  return isSuspect ? CrashStatus::Suspect : CrashStatus::Clear;
 }
 
 bool
@@ -327,8 +327,9 @@
     return false;
   }
   const bool wouldSuffice = Sum(found->second.exits) >= kQuarantineScore;
-  const Duration settles =
-    wouldSuffice ? Duration(kSettleTime + kEvaluationPeriod) : kPeerEvidenceDelay;
+  const Duration settles = wouldSuffice
+                             ? Duration(kSettleTime + kEvaluationPeriod)
+                             : kPeerEvidenceDelay;
   return std::ranges::any_of(found->second.exits, [&](const ServerExit& aExit) {
     return aExit.weight != CrashWeight::None &&
            Between(aExit.receivedAt, aNow) < settles;
@@ -355,13 +356,13 @@
                             this->QuarantineLeft(aRequest, aNow) };
 }
 
-CrashNews
+CrashUpdate
 CrashLedger::OutgoingUpdate(TimePoint aNow) const
 {
   const auto isNew = [aNow](TimePoint aReceivedAt) {
     return Between(aReceivedAt, aNow) < kRepeatTime;
   };
-  CrashNews news;
+  CrashUpdate news;
   for (const auto& [request, verdict] : this->verdicts) {
     const Duration left = this->QuarantineLeft(request, aNow);
     if (left > Duration::zero() || isNew(verdict.receivedAt)) {
--- a/dogwoodvale/src/Quarantine/CrashLedger.h
+++ b/dogwoodvale/src/Quarantine/CrashLedger.h
@@ -11,7 +11,7 @@
 namespace dogwoodvale {
 
 /// Whether a request may be sent to backend servers.
-enum class CrashStanding : std::uint8_t
+enum class CrashStatus : std::uint8_t
 {
   /// No evidence against it.
   Clear,
@@ -37,7 +37,7 @@
 };
 
 /// Evidence and verdicts that one gateway sends to the others.
-struct CrashNews
+struct CrashUpdate
 {
   std::vector<CrashEvidence> evidence;
   std::vector<QuarantineVerdict> verdicts;
@@ -88,7 +88,7 @@
   /// \return whether this lifts its quarantine.
   bool OnAnswered(RequestFingerprint aRequest, TimePoint aNow);
 
-  CrashStanding StatusOf(RequestFingerprint aRequest, TimePoint aNow) const;
+  CrashStatus StatusOf(RequestFingerprint aRequest, TimePoint aNow) const;
   /// Remaining time of its quarantine; zero if it is not quarantined.
   Duration QuarantineLeft(RequestFingerprint aRequest, TimePoint aNow) const;
   /// Whether more evidence may still arrive from other gateways, or the
@@ -108,7 +108,7 @@
   /// everything else for kRepeatTime. Evidence from other gateways is forwarded
   /// only for requests with two exits or more: those with one exit are many,
   /// and every gateway nearby has received their evidence first-hand.
-  CrashNews OutgoingUpdate(TimePoint aNow) const;
+  CrashUpdate OutgoingUpdate(TimePoint aNow) const;
   /// Requests with a score above 0.
   std::vector<RequestFingerprint> Suspects() const;
   /// Drops evidence and verdicts older than kRetention.
--- a/dogwoodvale/src/Quarantine/CopiesUnderWay.cpp
+++ b/dogwoodvale/src/Quarantine/InFlightDuplicates.cpp
@@ -1,17 +1,17 @@
-#include "CopiesUnderWay.h"
+#include "InFlightDuplicates.h"
 
 #include <algorithm>
 
 namespace dogwoodvale {
 
 void
-CopiesUnderWay::OnSent(RequestFingerprint aRequest)
+InFlightDuplicates::OnSent(RequestFingerprint aRequest)
 {
   ++this->own[aRequest];
 }
 
 void
-CopiesUnderWay::OnDone(RequestFingerprint aRequest)
+InFlightDuplicates::OnDone(RequestFingerprint aRequest)
 {
   const auto found = this->own.find(aRequest);
   if (found != this->own.end() && --found->second == 0) {
@@ -20,9 +20,10 @@
 }
 
 void
-CopiesUnderWay::SetOthers(const InstanceName& aGateway,
-                          std::span<const RequestFingerprint> aRequests,
-                          TimePoint aNow)
+InFlightDuplicates::SetPeerDuplicates(
+  const InstanceName& aGateway,
+  std::span<const RequestFingerprint> aRequests,
+  TimePoint aNow)
 {
   if (aRequests.empty()) {
     this->peerReports.erase(aGateway);
@@ -33,7 +34,7 @@
 }
 
 bool
-CopiesUnderWay::HasAny(RequestFingerprint aRequest, TimePoint aNow) const
+InFlightDuplicates::HasAny(RequestFingerprint aRequest, TimePoint aNow) const
 {
   return this->HasOwn(aRequest) ||
          std::ranges::any_of(this->peerReports, [&](const auto& aItem) {
@@ -45,7 +46,7 @@
 }
 
 void
-CopiesUnderWay::Expire(TimePoint aNow)
+InFlightDuplicates::Expire(TimePoint aNow)
 {
   std::erase_if(this->peerReports, [aNow](const auto& aItem) {
     return Between(aItem.second.receivedAt, aNow) > kReportTtl;
--- a/dogwoodvale/src/Quarantine/CopiesUnderWay.h
+++ b/dogwoodvale/src/Quarantine/InFlightDuplicates.h
@@ -1,5 +1,5 @@
-#ifndef DOGWOODVALE_QUARANTINE_COPIESUNDERWAY_H
-#define DOGWOODVALE_QUARANTINE_COPIESUNDERWAY_H
+#ifndef DOGWOODVALE_QUARANTINE_INFLIGHTDUPLICATES_H
+#define DOGWOODVALE_QUARANTINE_INFLIGHTDUPLICATES_H
 
 #include <map>
 #include <span>
@@ -14,15 +14,15 @@
 /// Requests in flight at backend servers: how many duplicates of each, of the
 /// same fingerprint, this gateway has sent, and which suspects the other
 /// gateways report.
-class CopiesUnderWay
+class InFlightDuplicates
 {
 public:
   void OnSent(RequestFingerprint aRequest);
   void OnDone(RequestFingerprint aRequest);
   /// Replaces what \p aGateway reported before.
-  void SetOthers(const InstanceName& aGateway,
-                 std::span<const RequestFingerprint> aRequests,
-                 TimePoint aNow);
+  void SetPeerDuplicates(const InstanceName& aGateway,
+                         std::span<const RequestFingerprint> aRequests,
+                         TimePoint aNow);
 
   bool HasOwn(RequestFingerprint aRequest) const
   {
--- a/dogwoodvale/src/Quarantine/BrokenRuns.cpp
+++ b/dogwoodvale/src/Quarantine/UnresolvedAttempts.cpp
@@ -1,14 +1,14 @@
-#include "BrokenRuns.h"
+#include "UnresolvedAttempts.h"
 
 #include <algorithm>
 
 namespace dogwoodvale {
 
 bool
-BrokenRuns::Add(const InstanceName& aInstance,
-                RequestFingerprint aRequest,
-                CrashWeight aWeight,
-                TimePoint aNow)
+UnresolvedAttempts::Add(const InstanceName& aInstance,
+                        RequestFingerprint aRequest,
+                        CrashWeight aWeight,
+                        TimePoint aNow)
 {
   const auto [at, isFirst] =
     this->servers.try_emplace(aInstance, ServerAttempts{ {}, aNow });
@@ -20,7 +20,7 @@
 }
 
 std::vector<CrashEvidence>
-BrokenRuns::OnServerExited(const InstanceName& aInstance)
+UnresolvedAttempts::OnServerExited(const InstanceName& aInstance)
 {
   const auto found = this->servers.find(aInstance);
   if (found == this->servers.end()) {
@@ -32,13 +32,14 @@
 }
 
 void
-BrokenRuns::OnAlive(const InstanceName& aInstance)
+UnresolvedAttempts::OnServerAlive(const InstanceName& aInstance)
 {
   this->servers.erase(aInstance);
 }
 
 bool
-BrokenRuns::HasJustBroken(RequestFingerprint aRequest, TimePoint aNow) const
+UnresolvedAttempts::HasRecentBreak(RequestFingerprint aRequest,
+                                   TimePoint aNow) const
 {
   return std::ranges::any_of(this->servers, [&](const auto& aItem) {
     const ServerAttempts& server = aItem.second;
@@ -50,7 +51,7 @@
 }
 
 std::vector<InstanceName>
-BrokenRuns::UnresolvedServers() const
+UnresolvedAttempts::UnresolvedServers() const
 {
   std::vector<InstanceName> names;
   for (const auto& [name, attempts] : this->servers) {
@@ -60,7 +61,7 @@
 }
 
 void
-BrokenRuns::Expire(TimePoint aNow)
+UnresolvedAttempts::Expire(TimePoint aNow)
 {
   std::erase_if(this->servers, [aNow](const auto& aItem) {
     return Between(aItem.second.since, aNow) > kResolveTimeout;
--- a/dogwoodvale/src/Quarantine/BrokenRuns.h
+++ b/dogwoodvale/src/Quarantine/UnresolvedAttempts.h
@@ -1,5 +1,5 @@
-#ifndef DOGWOODVALE_QUARANTINE_BROKENRUNS_H
-#define DOGWOODVALE_QUARANTINE_BROKENRUNS_H
+#ifndef DOGWOODVALE_QUARANTINE_UNRESOLVEDATTEMPTS_H
+#define DOGWOODVALE_QUARANTINE_UNRESOLVEDATTEMPTS_H
 
 #include <map>
 #include <span>
@@ -12,7 +12,7 @@
 /// Attempts whose connection broke, kept until it is known whether their server
 /// has exited. A server that lost a single answer or its network link is still
 /// alive, and its broken attempts are no evidence against a request.
-class BrokenRuns
+class UnresolvedAttempts
 {
 public:
   /// Adds an attempt whose connection broke.
@@ -25,11 +25,11 @@
   /// \return them as evidence; empty if there are none.
   std::vector<CrashEvidence> OnServerExited(const InstanceName& aInstance);
   /// The server accepts connections: its attempts are discarded.
-  void OnAlive(const InstanceName& aInstance);
+  void OnServerAlive(const InstanceName& aInstance);
   /// Whether an attempt of the request is at a server whose first unresolved
   /// break was less than kProbeWait ago, so that the result of the probe of
   /// this server may still come.
-  bool HasJustBroken(RequestFingerprint aRequest, TimePoint aNow) const;
+  bool HasRecentBreak(RequestFingerprint aRequest, TimePoint aNow) const;
   /// Servers with unresolved attempts.
   std::vector<InstanceName> UnresolvedServers() const;
   /// Discards the attempts of servers that are unresolved after
--- a/dogwoodvale/src/Requests/Attempt.cpp
+++ b/dogwoodvale/src/Requests/Attempt.cpp
@@ -16,7 +16,7 @@
 }
 
 void
-Attempt::OnSidecarSays(Incarnation aReporter, Disposition aDisposition)
+Attempt::OnDispositionReported(Incarnation aReporter, Disposition aDisposition)
 {
   if (this->settled) {
     return;
--- a/dogwoodvale/src/Requests/Attempt.h
+++ b/dogwoodvale/src/Requests/Attempt.h
@@ -33,7 +33,7 @@
   /// The sidecar reported a disposition, in a refusal or in the reply to a
   /// probe. Only the first call has an effect.
   /// \param aReporter the incarnation that reported it.
-  void OnSidecarSays(Incarnation aReporter, Disposition aDisposition);
+  void OnDispositionReported(Incarnation aReporter, Disposition aDisposition);
 
   /// The probe reached a restarted sidecar, or got no answer in time.
   void OnProbeFailed() { this->settled = true; }
--- a/dogwoodvale/src/Requests/RetryDecision.cpp
+++ b/dogwoodvale/src/Requests/RetryDecision.cpp
@@ -17,7 +17,7 @@
 IsAllowed(const RetryAllowance& aAllowance)
 {
   return aAllowance.hasBudget && aAllowance.attempts < aAllowance.maxAttempts &&
-         aAllowance.deadlineLeft > aAllowance.leastUseful;
+         aAllowance.deadlineLeft > aAllowance.minUsefulTime;
 }
 
 } // namespace
--- a/dogwoodvale/src/Requests/RetryDecision.h
+++ b/dogwoodvale/src/Requests/RetryDecision.h
@@ -42,7 +42,7 @@
   Duration deadlineLeft{ 0 };
   /// Minimum remaining time for a further attempt to be worthwhile; an attempt
   /// is made only with more left.
-  Duration leastUseful{ 0 };
+  Duration minUsefulTime{ 0 };
   /// Attempts made so far.
   std::uint32_t attempts = 0;
   std::uint32_t maxAttempts = 3;
--- a/dogwoodvale/src/Routing/AdmissionControl.cpp
+++ b/dogwoodvale/src/Routing/AdmissionControl.cpp
@@ -121,7 +121,7 @@
 }
 
 milliseconds
-SpreadRetryAfter(Duration aLeast, std::mt19937_64& aRandom)
+JitteredRetryAfter(Duration aLeast, std::mt19937_64& aRandom)
 {
   const Duration least =
     std::clamp(aLeast, kMinRetryAfter, Duration(kMaxRetryAfter));
--- a/dogwoodvale/src/Routing/AdmissionControl.h
+++ b/dogwoodvale/src/Routing/AdmissionControl.h
@@ -75,7 +75,7 @@
 /// that are not due to one customer's limit, such as a full queue. \p aLeast
 /// is first clamped to 50 ms ... 30 s.
 milliseconds
-SpreadRetryAfter(Duration aLeast, std::mt19937_64& aRandom);
+JitteredRetryAfter(Duration aLeast, std::mt19937_64& aRandom);
 
 } // namespace dogwoodvale
 
--- a/dogwoodvale/src/Routing/BackendTable.cpp
+++ b/dogwoodvale/src/Routing/BackendTable.cpp
@@ -58,7 +58,7 @@
 }
 
 void
-BackendTable::SetStanding(const InstanceName& aName, Standing aState)
+BackendTable::SetHealthState(const InstanceName& aName, HealthState aState)
 {
   if (Backend* known = this->FindMutable(aName)) {
     known->healthState = aState;
--- a/dogwoodvale/src/Routing/BackendTable.h
+++ b/dogwoodvale/src/Routing/BackendTable.h
@@ -17,11 +17,11 @@
 namespace dogwoodvale {
 
 /// State of a server in outlier detection, see HealthTracker.
-enum class Standing : std::uint8_t
+enum class HealthState : std::uint8_t
 {
   InService,
   /// Gets one request at a time, to find out whether it has recovered.
-  OnTrial,
+  Probing,
   /// Gets no requests.
   Ejected,
 };
@@ -39,7 +39,7 @@
 };
 
 /// Concurrency limit assumed until the server reports one.
-inline constexpr double kGuessedSlots = 8.0;
+inline constexpr double kDefaultSlots = 8.0;
 
 /// State that this entry keeps about one backend server and its sidecar.
 struct Backend
@@ -48,7 +48,7 @@
   DataCentreName dataCentre;
   /// Connected and not draining.
   bool available = false;
-  Standing healthState = Standing::InService;
+  HealthState healthState = HealthState::InService;
   LoadReport report;
   /// Time of the last report; TimePoint{} before the first.
   TimePoint reportedAt{};
@@ -64,10 +64,10 @@
 
   bool HasReport() const { return this->reportedAt != TimePoint{}; }
 
-  /// The reported concurrency limit, or kGuessedSlots before it is reported.
+  /// The reported concurrency limit, or kDefaultSlots before it is reported.
   double Slots() const
   {
-    return this->report.limit == 0 ? kGuessedSlots : this->report.limit;
+    return this->report.limit == 0 ? kDefaultSlots : this->report.limit;
   }
 
   /// Requests per slot: those of other entries by the last report, plus this
@@ -88,8 +88,8 @@
   bool IsUsable() const
   {
     return this->available &&
-           (this->healthState == Standing::InService ||
-            (this->healthState == Standing::OnTrial && this->inFlight == 0));
+           (this->healthState == HealthState::InService ||
+            (this->healthState == HealthState::Probing && this->inFlight == 0));
   }
 };
 
@@ -108,7 +108,7 @@
 
   /// \param aAvailable whether it is connected and not draining.
   void SetAvailable(const InstanceName& aName, bool aAvailable);
-  void SetStanding(const InstanceName& aName, Standing aState);
+  void SetHealthState(const InstanceName& aName, HealthState aState);
 
   void OnLoadReport(const InstanceName& aName,
                     const LoadReport& aReport,
--- a/dogwoodvale/src/Routing/HealthTracker.cpp
+++ b/dogwoodvale/src/Routing/HealthTracker.cpp
@@ -115,7 +115,7 @@
   const Medians medians = this->MeasureMedians();
   std::vector<Outlier> outliers;
   for (auto& [name, server] : this->servers) {
-    if (server.state == Standing::Ejected) {
+    if (server.state == HealthState::Ejected) {
       continue;
     }
     if (auto outlier = this->DetectOutlier(name, server, medians)) {
@@ -137,20 +137,20 @@
   return changes;
 }
 
-Standing
+HealthState
 HealthTracker::HealthStateOf(const InstanceName& aName) const
 {
   const auto found = this->servers.find(aName);
-  return found == this->servers.end() ? Standing::InService
+  return found == this->servers.end() ? HealthState::InService
                                       : found->second.state;
 }
 
 std::size_t
-HealthTracker::OutCount() const
+HealthTracker::UnhealthyCount() const
 {
   return static_cast<std::size_t>(std::count_if(
     this->servers.begin(), this->servers.end(), [](const auto& aEntry) {
-      return aEntry.second.state != Standing::InService;
+      return aEntry.second.state != HealthState::InService;
     }));
 }
 
@@ -187,7 +187,7 @@
   }
   const double results = aServer.successes + aServer.failures;
   if (results >= this->settings.minSamples * kMinWeightPerSample &&
-      aServer.failures >= results * this->settings.failureShare) {
+      aServer.failures >= results * this->settings.failureThreshold) {
     return Outlier{ aName, &aServer, "failing", false, kFailureSeverity };
   }
   const double slowness = this->Slowness(aServer, aMedians);
@@ -215,11 +215,11 @@
 bool
 HealthTracker::MayEject(const Outlier& aOutlier, double aLoad) const
 {
-  if (aOutlier.server->state == Standing::OnTrial) {
+  if (aOutlier.server->state == HealthState::Probing) {
     return true;
   }
   const auto total = static_cast<double>(this->servers.size());
-  const auto unhealthy = static_cast<double>(this->OutCount());
+  const auto unhealthy = static_cast<double>(this->UnhealthyCount());
   // One server may be ejected even from a small service, but never the last.
   const double maxUnhealthy =
     std::max(1.0, total * this->settings.maxEjectedShare);
@@ -237,32 +237,36 @@
   Server& server = *aOutlier.server;
   const std::uint32_t doublings = std::min(server.ejections, kMaxDoublings);
   const Duration duration =
-    std::min(this->settings.firstEjection * (std::int64_t{ 1 } << doublings),
-             this->settings.longestEjection);
+    std::min(this->settings.baseEjectionTime * (std::int64_t{ 1 } << doublings),
+             this->settings.maxEjectionTime);
   server.isSlow = aOutlier.isSlow;
   server.ejectedUntil = aNow + duration;
   ++server.ejections;
-  SetState(
-    aOutlier.name, server, Standing::Ejected, aOutlier.reason, aNow, aChanges);
+  SetState(aOutlier.name,
+           server,
+           HealthState::Ejected,
+           aOutlier.reason,
+           aNow,
+           aChanges);
 }
 
 void
 HealthTracker::ReinstateServers(TimePoint aNow, double aLoad, Changes& aChanges)
 {
   for (auto& [name, server] : this->servers) {
-    if (server.state == Standing::InService) {
+    if (server.state == HealthState::InService) {
       continue;
     }
     if (server.isSlow && aLoad >= this->settings.returnLoad) {
-      SetState(name, server, Standing::InService, "needed", aNow, aChanges);
-    } else if (server.state == Standing::Ejected &&
+      SetState(name, server, HealthState::InService, "needed", aNow, aChanges);
+    } else if (server.state == HealthState::Ejected &&
                aNow >= server.ejectedUntil) {
       // Drops the samples, so that only results from now on count.
       Server probed;
       probed.ejections = server.ejections;
       probed.isSlow = server.isSlow;
       server = probed;
-      SetState(name, server, Standing::OnTrial, "trial", aNow, aChanges);
+      SetState(name, server, HealthState::Probing, "trial", aNow, aChanges);
     }
   }
 }
@@ -273,15 +277,15 @@
                              TimePoint aNow,
                              Changes& aChanges) const
 {
-  if (aServer.state == Standing::OnTrial) {
+  if (aServer.state == HealthState::Probing) {
     if (aServer.successes >= kProbeSuccessWeight) {
       aServer.isSlow = false;
       SetState(
-        aName, aServer, Standing::InService, "recovered", aNow, aChanges);
+        aName, aServer, HealthState::InService, "recovered", aNow, aChanges);
     }
     return;
   }
-  if (Between(aServer.since, aNow) > this->settings.longestEjection) {
+  if (Between(aServer.since, aNow) > this->settings.maxEjectionTime) {
     aServer.ejections = 0;
   }
 }
@@ -289,7 +293,7 @@
 void
 HealthTracker::SetState(const InstanceName& aName,
                         Server& aServer,
-                        Standing aState,
+                        HealthState aState,
                         const char* aReason,
                         TimePoint aNow,
                         Changes& aChanges)
--- a/dogwoodvale/src/Routing/HealthTracker.h
+++ b/dogwoodvale/src/Routing/HealthTracker.h
@@ -20,7 +20,7 @@
   double slowFactor = 3.0;
   /// A server of which at least this share of the recent requests failed is an
   /// outlier.
-  double failureShare = 0.5;
+  double failureThreshold = 0.5;
   /// Recent samples needed to judge a server.
   std::uint32_t minSamples = 5;
   /// Maximum share of a service's servers that are ejected or being probed at
@@ -33,16 +33,16 @@
   /// reaches this.
   double returnLoad = 0.97;
   /// Duration of the first ejection; doubles with each failed probe, up to
-  /// longestEjection.
-  Duration firstEjection = seconds(5);
-  Duration longestEjection = seconds(120);
+  /// maxEjectionTime.
+  Duration baseEjectionTime = seconds(5);
+  Duration maxEjectionTime = seconds(120);
 };
 
 /// A change of a server's health state.
 struct HealthChange
 {
   InstanceName name;
-  Standing healthState = Standing::InService;
+  HealthState healthState = HealthState::InService;
   /// Cause, for logs: "slow", "failing", "crashed", "trial" (probing begins),
   /// "recovered" or "needed" (returned because of the load).
   const char* reason = "";
@@ -76,19 +76,19 @@
 
   /// Updates the health states; to be called a few times a second.
   /// \param aLoad requests per slot, from BackendTable::MeanLoad().
-  /// \return the changes, which the caller passes to BackendTable::SetStanding
-  /// and logs.
+  /// \return the changes, which the caller passes to
+  /// BackendTable::SetHealthState and logs.
   std::vector<HealthChange> Evaluate(TimePoint aNow, double aLoad = 0.0);
 
   /// InService for an unknown server.
-  Standing HealthStateOf(const InstanceName& aName) const;
+  HealthState HealthStateOf(const InstanceName& aName) const;
   /// Number of servers that are ejected or being probed.
-  std::size_t OutCount() const;
+  std::size_t UnhealthyCount() const;
 
 private:
   struct Server
   {
-    Standing state = Standing::InService;
+    HealthState state = HealthState::InService;
     /// Moving averages; 0 before the first sample.
     double stepMicros = 0.0;
     double firstTokenMicros = 0.0;
@@ -147,7 +147,7 @@
                      Changes& aChanges) const;
   static void SetState(const InstanceName& aName,
                        Server& aServer,
-                       Standing aState,
+                       HealthState aState,
                        const char* aReason,
                        TimePoint aNow,
                        Changes& aChanges);
--- a/dogwoodvale/src/Scheduling/AdaptiveConcurrencyLimit.cpp
+++ b/dogwoodvale/src/Scheduling/AdaptiveConcurrencyLimit.cpp
@@ -130,7 +130,7 @@
 }
 
 void
-AdaptiveConcurrencyLimit::OnFinishUnanswered(TimePoint aNow)
+AdaptiveConcurrencyLimit::OnFinishWithoutFirstToken(TimePoint aNow)
 {
   this->RemoveAwaiting();
   this->OnFinish(aNow);
--- a/dogwoodvale/src/Scheduling/ConcurrencyLimit.h
+++ b/dogwoodvale/src/Scheduling/ConcurrencyLimit.h
@@ -32,7 +32,7 @@
   /// A request ended without a first token: cancelled, refused or lost.
   /// Separate from OnFinish because requests that await their first token are
   /// counted.
-  virtual void OnFinishUnanswered(TimePoint aNow) = 0;
+  virtual void OnFinishWithoutFirstToken(TimePoint aNow) = 0;
 
   /// Overload signal: above 1 when the server exceeds the target time between
   /// tokens or queues requests internally; 0 before the first measurement.
--- a/dogwoodvale/src/Scheduling/FixedConcurrencyLimit.cpp
+++ b/dogwoodvale/src/Scheduling/FixedConcurrencyLimit.cpp
@@ -37,7 +37,7 @@
 }
 
 void
-FixedConcurrencyLimit::OnFinishUnanswered(TimePoint aNow)
+FixedConcurrencyLimit::OnFinishWithoutFirstToken(TimePoint aNow)
 {
   this->OnFinish(aNow);
 }
--- a/dogwoodvale/src/Scheduling/FixedConcurrencyLimit.h
+++ b/dogwoodvale/src/Scheduling/FixedConcurrencyLimit.h
@@ -17,7 +17,7 @@
   void OnFirstToken(Duration aWait, std::uint32_t aPromptTokens) override;
   void OnToken(Duration aInterval) override;
   void OnFinish(TimePoint aNow) override;
-  void OnFinishUnanswered(TimePoint aNow) override;
+  void OnFinishWithoutFirstToken(TimePoint aNow) override;
   double QueueingSignal() const override { return 0; }
 
 private:
--- a/dogwoodvale/src/Scheduling/PreemptionPolicy.cpp
+++ b/dogwoodvale/src/Scheduling/PreemptionPolicy.cpp
@@ -47,7 +47,7 @@
 PreemptionPolicy::CostOf(const RunningRequest& aRequest) const
 {
   const std::int64_t tokens =
-    std::int64_t{ aRequest.promptTokens } + aRequest.tokensDone;
+    std::int64_t{ aRequest.promptTokens } + aRequest.tokensGenerated;
   return this->options.costs.overhead +
          tokens * this->options.costs.prefillPerToken;
 }
--- a/dogwoodvale/src/Scheduling/PreemptionPolicy.h
+++ b/dogwoodvale/src/Scheduling/PreemptionPolicy.h
@@ -17,7 +17,7 @@
   bool idempotent = false;
   std::uint32_t promptTokens = 0;
   /// Tokens generated so far; prefilled again on resumption.
-  std::uint32_t tokensDone = 0;
+  std::uint32_t tokensGenerated = 0;
   TimePoint started;
   /// Number of earlier preemptions.
   std::uint32_t preemptions = 0;
--- a/dogwoodvale/src/Sidecar/Dispatcher.cpp
+++ b/dogwoodvale/src/Sidecar/Dispatcher.cpp
@@ -304,7 +304,7 @@
     described.idempotent =
       run.idempotent && run.answerKind == AnswerKind::Tokens;
     described.promptTokens = run.promptTokens;
-    described.tokensDone = started.attempt->Tokens();
+    described.tokensGenerated = started.attempt->Tokens();
     described.started = started.attempt->StartedAt();
     described.startedOverdue = started.overdue;
     described.preemptions = run.preemptions;
@@ -350,7 +350,7 @@
   if (aAttempt.HasFirstToken()) {
     this->limit->OnFinish(Now());
   } else {
-    this->limit->OnFinishUnanswered(Now());
+    this->limit->OnFinishWithoutFirstToken(Now());
   }
   this->CountEnd(aAttempt, aEnd);
   const ClassName className(run.className);
--- a/dogwoodvale/src/Sidecar/Sidecar.cpp
+++ b/dogwoodvale/src/Sidecar/Sidecar.cpp
@@ -173,9 +173,9 @@
     age = milliseconds(aNotice.storeContactAgeMillis);
   }
   this->control->Manager().OnPeerEpoch(InstanceName(aSession.Peer().instance),
-                                      aNotice.epoch,
-                                      aNotice.rootHash,
-                                      age);
+                                       aNotice.epoch,
+                                       aNotice.rootHash,
+                                       age);
 }
 
 void
@@ -210,7 +210,7 @@
   this->sweepTimer.StartOnce(Duration(0));
   if (aReply.ok()) {
     this->control->Manager().OnFetched(aAttempt.Entry(),
-                                      ToBundle(*std::move(aReply)));
+                                       ToBundle(*std::move(aReply)));
   } else {
     this->control->Manager().OnFetched(aAttempt.Entry(), aReply.status());
   }
--- a/dogwoodvale/src/Store/ConfigurationKeeper.cpp
+++ b/dogwoodvale/src/Store/ConfigurationManager.cpp
@@ -35,11 +35,11 @@
   return "unknown";
 }
 
-ConfigurationKeeper::ConfigurationKeeper(EventLoop& aLoop,
-                                         const ConfigurationOptions& aOptions,
-                                         StoreClient* aStore,
-                                         PeerFetch& aPeers,
-                                         ConfigurationObserver& aObserver)
+ConfigurationManager::ConfigurationManager(EventLoop& aLoop,
+                                           const ConfigurationOptions& aOptions,
+                                           StoreClient* aStore,
+                                           PeerFetch& aPeers,
+                                           ConfigurationObserver& aObserver)
   : options(aOptions)
   , peers(aPeers)
   , observer(aObserver)
@@ -68,7 +68,7 @@
 }
 
 void
-ConfigurationKeeper::Start()
+ConfigurationManager::Start()
 {
   this->tickTimer.StartRepeating(this->options.tickPeriod);
   this->ApplyElection();
@@ -77,13 +77,13 @@
 }
 
 double
-ConfigurationKeeper::DrawUniform()
+ConfigurationManager::DrawUniform()
 {
   return std::uniform_real_distribution<double>(0, 1)(this->random);
 }
 
 void
-ConfigurationKeeper::Tick()
+ConfigurationManager::Tick()
 {
   const TimePoint now = Now();
   this->election.Tick(now, this->DrawUniform());
@@ -100,7 +100,7 @@
 }
 
 void
-ConfigurationKeeper::ApplyElection()
+ConfigurationManager::ApplyElection()
 {
   if (!this->reader ||
       this->reader->IsWatching() == this->election.ShouldWatch()) {
@@ -114,7 +114,7 @@
 }
 
 void
-ConfigurationKeeper::Bootstrap()
+ConfigurationManager::Bootstrap()
 {
   if (this->state.Current() != nullptr || !this->reader) {
     return;
@@ -127,29 +127,29 @@
 }
 
 void
-ConfigurationKeeper::OnList(std::span<const ListedInstance> aList)
+ConfigurationManager::OnList(std::span<const ListedInstance> aList)
 {
   this->election.OnList(aList);
   this->ApplyElection();
 }
 
 Duration
-ConfigurationKeeper::StoreContactAge() const
+ConfigurationManager::StoreContactAge() const
 {
   return this->election.ContactAge(Now());
 }
 
 bool
-ConfigurationKeeper::IsWatching() const
+ConfigurationManager::IsWatching() const
 {
   return this->reader && this->reader->IsWatching();
 }
 
 void
-ConfigurationKeeper::OnPeerEpoch(const InstanceName& aPeer,
-                                 Epoch aEpoch,
-                                 std::string_view aRootHash,
-                                 std::optional<Duration> aContactAge)
+ConfigurationManager::OnPeerEpoch(const InstanceName& aPeer,
+                                  Epoch aEpoch,
+                                  std::string_view aRootHash,
+                                  std::optional<Duration> aContactAge)
 {
   if (aContactAge) {
     this->election.OnPeerContact(*aContactAge, Now());
@@ -170,7 +170,7 @@
 }
 
 void
-ConfigurationKeeper::OnPeerLost(const InstanceName& aPeer)
+ConfigurationManager::OnPeerLost(const InstanceName& aPeer)
 {
   this->peerStates.erase(aPeer);
   if (this->fetchPeer == aPeer) {
@@ -180,8 +180,8 @@
 }
 
 const InstanceName*
-ConfigurationKeeper::ChoosePeer(TimePoint aNow,
-                                std::span<const InstanceName> aExcluded) const
+ConfigurationManager::ChoosePeer(TimePoint aNow,
+                                 std::span<const InstanceName> aExcluded) const
 {
   const InstanceName* best = nullptr;
   Epoch highest = 0;
@@ -197,7 +197,7 @@
 }
 
 void
-ConfigurationKeeper::FetchFromPeers()
+ConfigurationManager::FetchFromPeers()
 {
   if (!this->fetchPeer.IsEmpty()) {
     return;
@@ -228,7 +228,7 @@
 }
 
 void
-ConfigurationKeeper::EndFetch(bool aFailed)
+ConfigurationManager::EndFetch(bool aFailed)
 {
   this->fetchPeer = InstanceName();
   this->fetchTimer.Stop();
@@ -236,7 +236,7 @@
 }
 
 void
-ConfigurationKeeper::OnFetched(
+ConfigurationManager::OnFetched(
   const InstanceName& aPeer,
   const absl::StatusOr<ConfigurationBundle>& aAnswer)
 {
@@ -274,14 +274,14 @@
 }
 
 ConfigurationBundle
-ConfigurationKeeper::Answer(const ConfigurationRequest& aRequest)
+ConfigurationManager::Answer(const ConfigurationRequest& aRequest)
 {
   ++this->counters.fetchesAnswered;
   return this->state.Answer(aRequest, this->options.maxAnswerBytes);
 }
 
 std::string
-ConfigurationKeeper::Export() const
+ConfigurationManager::Export() const
 {
   if (this->state.Current() == nullptr) {
     return "";
@@ -291,19 +291,19 @@
 }
 
 void
-ConfigurationKeeper::OnStoreContact()
+ConfigurationManager::OnStoreContact()
 {
   this->election.OnOwnContact(Now());
 }
 
 void
-ConfigurationKeeper::OnStoreFailure(const absl::Status& /*aReason*/)
+ConfigurationManager::OnStoreFailure(const absl::Status& /*aReason*/)
 {
   this->election.OnOwnFailure();
 }
 
 void
-ConfigurationKeeper::OnStoreRoot(std::string_view aText)
+ConfigurationManager::OnStoreRoot(std::string_view aText)
 {
   Epoch epoch = 0;
   if (!aText.empty()) {
@@ -339,7 +339,7 @@
 }
 
 void
-ConfigurationKeeper::UpdateStoreView(StoreView::State aState, Epoch aEpoch)
+ConfigurationManager::UpdateStoreView(StoreView::State aState, Epoch aEpoch)
 {
   const bool isChanged =
     this->storeView.state != aState || this->storeView.epoch != aEpoch;
@@ -362,7 +362,7 @@
 }
 
 void
-ConfigurationKeeper::ReadMissingFromStore()
+ConfigurationManager::ReadMissingFromStore()
 {
   const std::vector<std::string> missing = this->state.MissingPages();
   if (!missing.empty() && this->reader) {
@@ -371,7 +371,7 @@
 }
 
 void
-ConfigurationKeeper::OnStorePages(std::span<const Page> aPages)
+ConfigurationManager::OnStorePages(std::span<const Page> aPages)
 {
   this->state.AddPages(aPages);
   this->AcceptIfComplete();
@@ -381,7 +381,7 @@
 }
 
 void
-ConfigurationKeeper::OnStorePagesFailed(const absl::Status& aReason)
+ConfigurationManager::OnStorePagesFailed(const absl::Status& aReason)
 {
   this->OnStoreFailure(aReason);
   if (this->state.HasPending()) {
@@ -390,7 +390,7 @@
 }
 
 void
-ConfigurationKeeper::AcceptIfComplete()
+ConfigurationManager::AcceptIfComplete()
 {
   if (this->state.PendingEpoch() != this->pendingEpoch) {
     this->pendingEpoch = this->state.PendingEpoch();
--- a/dogwoodvale/src/Store/ConfigurationKeeper.h
+++ b/dogwoodvale/src/Store/ConfigurationManager.h
@@ -1,5 +1,5 @@
-#ifndef DOGWOODVALE_STORE_CONFIGURATIONKEEPER_H
-#define DOGWOODVALE_STORE_CONFIGURATIONKEEPER_H
+#ifndef DOGWOODVALE_STORE_CONFIGURATIONMANAGER_H
+#define DOGWOODVALE_STORE_CONFIGURATIONMANAGER_H
 
 #include <map>
 #include <memory>
@@ -21,7 +21,7 @@
 public:
   virtual ~PeerFetch() = default;
   /// Sends \p aRequest to \p aPeer; the response goes to
-  /// ConfigurationKeeper::OnFetched, later and never from within this call.
+  /// ConfigurationManager::OnFetched, later and never from within this call.
   /// \return false if the peer can't be reached now; OnFetched is not called
   /// then.
   virtual bool Fetch(const InstanceName& aPeer,
@@ -101,15 +101,15 @@
 
 /// Keeps the configuration up to date: reads it from the store if this process
 /// is one of the few elected to watch it, else from peers with a higher epoch.
-class ConfigurationKeeper final : public RootObserver
+class ConfigurationManager final : public RootObserver
 {
 public:
   /// \param aStore nullptr if the settings have no store.
-  ConfigurationKeeper(EventLoop& aLoop,
-                      const ConfigurationOptions& aOptions,
-                      StoreClient* aStore,
-                      PeerFetch& aPeers,
-                      ConfigurationObserver& aObserver);
+  ConfigurationManager(EventLoop& aLoop,
+                       const ConfigurationOptions& aOptions,
+                       StoreClient* aStore,
+                       PeerFetch& aPeers,
+                       ConfigurationObserver& aObserver);
 
   void Start();
 
--- a/dogwoodvale/src/Store/ControlPlane.cpp
+++ b/dogwoodvale/src/Store/ControlPlane.cpp
@@ -50,7 +50,7 @@
                                            platform.storeTimeout,
                                            *plane);
   }
-  plane->manager = std::make_unique<ConfigurationKeeper>(
+  plane->manager = std::make_unique<ConfigurationManager>(
     aLoop, OptionsOf(aSettings), plane->store.get(), aPeers, aObserver);
   return plane;
 }
--- a/dogwoodvale/src/Store/ControlPlane.h
+++ b/dogwoodvale/src/Store/ControlPlane.h
@@ -5,7 +5,7 @@
 
 #include <json/json.h>
 
-#include "ConfigurationKeeper.h"
+#include "ConfigurationManager.h"
 #include "HttpStoreClient.h"
 #include "InstanceListClient.h"
 #include "dogwoodvale/Settings"
@@ -34,8 +34,8 @@
 
   void Start();
 
-  ConfigurationKeeper& Manager() { return *this->manager; }
-  const ConfigurationKeeper& Keeper() const { return *this->manager; }
+  ConfigurationManager& Manager() { return *this->manager; }
+  const ConfigurationManager& Keeper() const { return *this->manager; }
   /// nullptr if the settings have no store.
   StoreClient* Store() { return this->store.get(); }
   /// Age of the newest known contact with the store, in milliseconds, as sent
@@ -55,7 +55,7 @@
   ControlPlaneObserver& observer;
   std::unique_ptr<HttpStoreClient> store;
   std::unique_ptr<InstanceListClient> list;
-  std::unique_ptr<ConfigurationKeeper> manager;
+  std::unique_ptr<ConfigurationManager> manager;
   bool listFailed = false;
 };
 
--- a/dogwoodvale/src/Store/HttpStoreClient.h
+++ b/dogwoodvale/src/Store/HttpStoreClient.h
@@ -21,7 +21,7 @@
   double callsPerSecond = 2;
   double callBurst = 20;
   /// Including the first.
-  int maxReadTries = 3;
+  int maxReadAttempts = 3;
   Duration initialBackoff = milliseconds(100);
   Duration maxBackoff = seconds(5);
   /// Calls queued for the budget beyond which new ones fail with
--- a/dogwoodvale/src/Store/StoreCalls.cpp
+++ b/dogwoodvale/src/Store/StoreCalls.cpp
@@ -121,7 +121,7 @@
   if (this->request.isIdempotent) {
     const bool isTransient =
       !aAnswer.status.ok() || aAnswer.code == 429 || aAnswer.code >= 500;
-    return isTransient && this->attempts < options.maxReadTries;
+    return isTransient && this->attempts < options.maxReadAttempts;
   }
   // A write that the store may have received is never sent again: another write
   // may have followed it, which the duplicate would undo.
--- a/test/RestingServers.cpp
+++ b/test/BackingOffServers.cpp
@@ -103,7 +103,7 @@
 TEST_CASE("a refusal without a back-off time does not suspend the server",
           "[backpressure]")
 {
-  ServerRests rests;
+  ServerBackoffs rests;
   const InstanceName server("e1");
   const TimePoint start = TimePoint{} + seconds(100);
   CHECK_FALSE(rests.OnRefused(server, Duration::zero(), start));
@@ -113,7 +113,7 @@
 TEST_CASE("a back-off ends by time and is followed by one probe at a time",
           "[backpressure]")
 {
-  ServerRests rests;
+  ServerBackoffs rests;
   const InstanceName server("e1");
   const TimePoint start = TimePoint{} + seconds(100);
   CHECK(rests.OnRefused(server, seconds(3), start));
@@ -122,24 +122,24 @@
   CHECK_FALSE(rests.OnRefused(server, seconds(1), start + seconds(1)));
   CHECK_FALSE(rests.MaySend(server, start + milliseconds(2999)));
   CHECK(rests.UntilFree(server, start + seconds(1)) == seconds(2));
-  CHECK(rests.RestingCount(start) == 1);
+  CHECK(rests.BackingOffCount(start) == 1);
 
   const TimePoint over = start + seconds(3);
   CHECK(rests.MaySend(server, over));
-  CHECK(rests.RestingCount(over) == 0);
+  CHECK(rests.BackingOffCount(over) == 0);
   rests.OnSent(server, over);
   CHECK_FALSE(rests.MaySend(server, over + milliseconds(10)));
-  CHECK(rests.MaySend(server, over + ServerRests::kTrialPatience));
+  CHECK(rests.MaySend(server, over + ServerBackoffs::kProbeRetryInterval));
   rests.OnAnswer(server, over + milliseconds(20));
   CHECK(rests.MaySend(server, over + milliseconds(20)));
 }
 
 TEST_CASE("a back-off has an upper bound", "[backpressure]")
 {
-  ServerRests rests;
+  ServerBackoffs rests;
   const InstanceName server("e1");
   const TimePoint start = TimePoint{} + seconds(100);
   rests.OnRefused(server, std::chrono::hours(1'000'000), start);
   CHECK_FALSE(rests.MaySend(server, start + std::chrono::minutes(9)));
-  CHECK(rests.MaySend(server, start + ServerRests::kMaxBackoff));
+  CHECK(rests.MaySend(server, start + ServerBackoffs::kMaxBackoff));
 }
--- a/test/ConfigurationKeeper.cpp
+++ b/test/ConfigurationManager.cpp
@@ -187,7 +187,7 @@
   }
   Epoch highest = 0;
   bool wentBack = false;
-  ConfigurationKeeper keeper;
+  ConfigurationManager keeper;
 };
 
 /// Processes in one loop, on a network that delays, drops, repeats and
@@ -409,7 +409,7 @@
   REQUIRE(site.Until([&] { return site.cluster.AllAt(5); }));
   site.store.Restore(backup);
   const auto seen = [&] {
-    return site.cluster.Any([](const ConfigurationKeeper& aKeeper) {
+    return site.cluster.Any([](const ConfigurationManager& aKeeper) {
       return aKeeper.Store().state == StoreView::State::Older;
     });
   };
@@ -509,7 +509,7 @@
   REQUIRE(site.Until([&] { return site.cluster.AllAt(1); }));
   WriteChange(site.store, MakeChange(2, { { "a.json", R"({"services":7})" } }));
   REQUIRE(site.Until([&] {
-    return site.cluster.Any([](const ConfigurationKeeper& aKeeper) {
+    return site.cluster.Any([](const ConfigurationManager& aKeeper) {
       return !aKeeper.Refusal().empty();
     });
   }));
