--- a/test/CrashLedger.cpp
+++ b/test/CrashLedger.cpp
@@ -52,11 +52,11 @@
               RequestFingerprint aRequest,
               TimePoint aNow = kStart)
 {
-  return aLedger.StatusOf(aRequest, aNow) == CrashStanding::Quarantined;
+  return aLedger.StatusOf(aRequest, aNow) == CrashStatus::Quarantined;
 }
 
 void
-Apply(CrashLedger& aLedger, const CrashNews& aNews, TimePoint aNow)
+Apply(CrashLedger& aLedger, const CrashUpdate& aNews, TimePoint aNow)
 {
   for (const QuarantineVerdict& verdict : aNews.verdicts) {
     aLedger.Take(verdict, aNow);
@@ -73,7 +73,7 @@
 {
   CrashLedger ledger(kQuarantine);
   ExitServers(ledger, 2, { kCrashing });
-  CHECK(ledger.StatusOf(kCrashing, kStart) == CrashStanding::Suspect);
+  CHECK(ledger.StatusOf(kCrashing, kStart) == CrashStatus::Suspect);
   ledger.Take(Early(kOther, 3), Source::Own, kStart);
   ledger.Take(Early(kCrashing, 3), Source::Own, kStart);
   CHECK(ledger.Evaluate(kStart).empty());
@@ -81,9 +81,9 @@
   CHECK(ledger.QuarantineLeft(kCrashing, kStart + CrashLedger::kSettleTime) ==
         kQuarantine);
   // The three exits are attributed: they no longer count against the other.
-  CHECK(ledger.StatusOf(kOther, kStart) == CrashStanding::Clear);
+  CHECK(ledger.StatusOf(kOther, kStart) == CrashStatus::Clear);
   ledger.Take(Early(kOther, 2), Source::Peer, kStart);
-  CHECK(ledger.StatusOf(kOther, kStart) == CrashStanding::Clear);
+  CHECK(ledger.StatusOf(kOther, kStart) == CrashStatus::Clear);
 }
 
 TEST_CASE("the exit of one server counts once", "[crashes]")
@@ -118,12 +118,12 @@
   {
     ledger.Take(Early(kCrashing, 4), Source::Own, kStart);
     CHECK(EvaluateLater(ledger) == std::vector{ kCrashing });
-    CHECK(ledger.StatusOf(kOther, kStart) == CrashStanding::Clear);
+    CHECK(ledger.StatusOf(kOther, kStart) == CrashStatus::Clear);
   }
   SECTION("by an answer")
   {
     ledger.OnAnswered(kOther, kStart);
-    CHECK(ledger.StatusOf(kOther, kStart) == CrashStanding::Clear);
+    CHECK(ledger.StatusOf(kOther, kStart) == CrashStatus::Clear);
     ledger.Take(Early(kCrashing, 4), Source::Own, kStart);
     CHECK(EvaluateLater(ledger) == std::vector{ kCrashing });
   }
@@ -139,17 +139,17 @@
   CrashLedger here(kQuarantine);
   CrashLedger there(kQuarantine);
   ExitServers(here, 2, { kOther });
-  const CrashNews before = here.OutgoingUpdate(kStart);
+  const CrashUpdate before = here.OutgoingUpdate(kStart);
   Apply(there, before, kStart);
   CHECK(there.ScoreOf(kOther) == 4);
   there.OnAnswered(kOther, kStart);
   Apply(here, there.OutgoingUpdate(kStart), kStart);
-  CHECK(here.StatusOf(kOther, kStart) == CrashStanding::Clear);
+  CHECK(here.StatusOf(kOther, kStart) == CrashStatus::Clear);
   // A digest that arrives out of order does not restore the evidence.
   Apply(here, before, kStart);
   Apply(there, before, kStart);
-  CHECK(here.StatusOf(kOther, kStart) == CrashStanding::Clear);
-  CHECK(there.StatusOf(kOther, kStart) == CrashStanding::Clear);
+  CHECK(here.StatusOf(kOther, kStart) == CrashStatus::Clear);
+  CHECK(there.StatusOf(kOther, kStart) == CrashStatus::Clear);
 }
 
 // A server of a new version answers the request that crashed the old one. Other
@@ -190,14 +190,14 @@
   EvaluateLater(ledger);
   const TimePoint over = kStart + kQuarantine + seconds(1);
   ledger.Expire(over);
-  CHECK(ledger.StatusOf(kCrashing, over) == CrashStanding::Suspect);
+  CHECK(ledger.StatusOf(kCrashing, over) == CrashStatus::Suspect);
   ledger.Take(Early(kCrashing, 9), Source::Own, over);
   CHECK(EvaluateLater(ledger, over) == std::vector{ kCrashing });
   // After the retention time everything is dropped.
   const TimePoint past =
     over + kQuarantine + CrashLedger::kRetention + seconds(1);
   ledger.Expire(past);
-  CHECK(ledger.StatusOf(kCrashing, past) == CrashStanding::Clear);
+  CHECK(ledger.StatusOf(kCrashing, past) == CrashStatus::Clear);
   CHECK(ledger.SuspectCount() == 0);
 }
 
@@ -230,7 +230,7 @@
     ledger.Take(Early(request, 50), Source::Own, kStart + milliseconds(1));
   }
   CHECK(ledger.SuspectCount() == CrashLedger::kMaxSuspects);
-  const CrashNews news = ledger.OutgoingUpdate(kStart + milliseconds(2));
+  const CrashUpdate news = ledger.OutgoingUpdate(kStart + milliseconds(2));
   CHECK(news.evidence.size() == CrashLedger::kMaxUpdateEntries);
   CHECK(news.evidence.front().request == kCrashing);
   ledger.Take(Early(kCrashing, 3), Source::Own, kStart);
@@ -264,7 +264,7 @@
 TEST_CASE("broken attempts are kept until their server's state is known",
           "[crashes]")
 {
-  BrokenRuns broken;
+  UnresolvedAttempts broken;
   const InstanceName server("s1");
   CHECK(broken.Add(server, kOther, CrashWeight::Late, kStart));
   CHECK_FALSE(broken.Add(server, kCrashing, CrashWeight::Early, kStart));
@@ -277,12 +277,12 @@
   }
   SECTION("it is alive")
   {
-    broken.OnAlive(server);
+    broken.OnServerAlive(server);
     CHECK(broken.OnServerExited(server).empty());
   }
   SECTION("its state stays unknown")
   {
-    broken.Expire(kStart + BrokenRuns::kResolveTimeout + Duration(1));
+    broken.Expire(kStart + UnresolvedAttempts::kResolveTimeout + Duration(1));
     CHECK(broken.UnresolvedServers().empty());
   }
 }
@@ -290,21 +290,21 @@
 TEST_CASE("duplicates of a suspect reported by other gateways time out",
           "[crashes]")
 {
-  CopiesUnderWay copies;
+  InFlightDuplicates copies;
   const std::vector reported{ kCrashing };
-  copies.SetOthers(InstanceName("g2"), reported, kStart);
+  copies.SetPeerDuplicates(InstanceName("g2"), reported, kStart);
   CHECK(copies.HasAny(kCrashing, kStart));
   CHECK_FALSE(copies.HasOwn(kCrashing));
   CHECK_FALSE(copies.HasAny(kOther, kStart));
   SECTION("until it is done there")
   {
-    copies.SetOthers(InstanceName("g2"), {}, kStart);
+    copies.SetPeerDuplicates(InstanceName("g2"), {}, kStart);
     CHECK_FALSE(copies.HasAny(kCrashing, kStart));
   }
   SECTION("until that gateway stops reporting")
   {
     CHECK_FALSE(copies.HasAny(
-      kCrashing, kStart + CopiesUnderWay::kReportTtl + Duration(1)));
+      kCrashing, kStart + InFlightDuplicates::kReportTtl + Duration(1)));
   }
   copies.OnSent(kOther);
   copies.OnSent(kOther);
@@ -321,7 +321,7 @@
 {
   rc::prop("any order, any number of times", [] {
     CrashLedger source(kQuarantine);
-    std::vector<CrashNews> sent;
+    std::vector<CrashUpdate> sent;
     for (ServerKey server = 1; server <= 3; ++server) {
       source.Take(Early(kCrashing, server), Source::Own, kStart);
       source.Take(Late(kOther + server, server), Source::Own, kStart);
--- a/test/CrashModel.cpp
+++ b/test/CrashModel.cpp
@@ -136,7 +136,7 @@
     Server& server = this->servers[this->Draw(this->servers.size())];
     if (server.backAt > this->now ||
         this->gateways[gateway].ledger.StatusOf(aRequest, this->now) ==
-          CrashStanding::Quarantined) {
+          CrashStatus::Quarantined) {
       return;
     }
     server.attempts.push_back({ aRequest, gateway, this->now, aRepeats });
@@ -238,7 +238,7 @@
         continue;
       }
       const std::vector<std::size_t> targets = this->Targets(from);
-      from.nextUpdate = std::max(PeerExchange::kLeastDigestPeriod,
+      from.nextUpdate = std::max(PeerExchange::kMinDigestPeriod,
                                  Duration(seconds(targets.size())) /
                                    PeerExchange::kDigestsPerSecond);
       PeerDigest digest;
@@ -255,7 +255,7 @@
     }
   }
 
-  void Apply(Gateway& aGateway, const CrashNews& aNews) const
+  void Apply(Gateway& aGateway, const CrashUpdate& aNews) const
   {
     for (const QuarantineVerdict& verdict : aNews.verdicts) {
       aGateway.ledger.Take(verdict, this->now);
@@ -272,11 +272,12 @@
     }
     bool allKnow = true;
     for (Gateway& gateway : this->gateways) {
-      for (const RequestFingerprint request : gateway.ledger.Evaluate(this->now)) {
+      for (const RequestFingerprint request :
+           gateway.ledger.Evaluate(this->now)) {
         this->result.othersQuarantined += request == kCrashing ? 0 : 1;
       }
       allKnow = allKnow && gateway.ledger.StatusOf(kCrashing, this->now) ==
-                             CrashStanding::Quarantined;
+                             CrashStatus::Quarantined;
       this->result.mostSuspects =
         std::max(this->result.mostSuspects, gateway.ledger.SuspectCount());
     }
--- a/test/DirectoryKeeper.cpp
+++ b/test/DirectoryCache.cpp
@@ -106,12 +106,12 @@
   FakeStore store{ *loop };
   PlainFormat format;
   Observer observer;
-  DirectoryKeeper directory{ *loop,
-                             store,
-                             format,
-                             { { InstanceName("g1"), { "127.0.0.1", 9 } },
-                               milliseconds(50) },
-                             observer };
+  DirectoryCache directory{ *loop,
+                            store,
+                            format,
+                            { { InstanceName("g1"), { "127.0.0.1", 9 } },
+                              milliseconds(50) },
+                            observer };
 };
 
 } // namespace
@@ -172,7 +172,7 @@
   {
     setup.store.mode = FakeStore::Mode::Down;
     setup.Pass(milliseconds(100));
-    setup.directory.TakeInstances(
+    setup.directory.ApplyInstances(
       R"({"age_ms":1,"instances":[{"name":"e1","service":"s",)"
       R"("address":"127.0.0.1:80","data_centre":"z","slots":1,)"
       R"("leaving":false}]})",
@@ -233,7 +233,7 @@
   setup.store.mode = FakeStore::Mode::Down;
   setup.Pass(milliseconds(200));
   setup.Remove("instances/e1");
-  setup.directory.NoteOthersContact(seconds(30), Now());
+  setup.directory.OnPeerStoreContact(seconds(30), Now());
   setup.store.mode = FakeStore::Mode::Up;
   CHECK(
     setup.Until([&] { return !setup.observer.Has("e1"); }, milliseconds(500)));
@@ -253,10 +253,10 @@
       R"("leaving":false}}]}})",
       aAge);
   };
-  setup.directory.TakeInstances(with(60'000), "g2");
+  setup.directory.ApplyInstances(with(60'000), "g2");
   CHECK_FALSE(setup.observer.Has("e7"));
-  setup.directory.TakeInstances("not a list", "g2");
-  setup.directory.TakeInstances(with(1), "g2");
+  setup.directory.ApplyInstances("not a list", "g2");
+  setup.directory.ApplyInstances(with(1), "g2");
   CHECK(setup.observer.Has("e7"));
   CHECK_FALSE(setup.observer.Has("e1"));
   CHECK(own.find("\"e1\"") != std::string::npos);
@@ -289,7 +289,7 @@
   };
   for (const std::string& document : wrong) {
     INFO(document);
-    CHECK_NOTHROW(setup.directory.TakeInstances(document, "g2"));
+    CHECK_NOTHROW(setup.directory.ApplyInstances(document, "g2"));
     CHECK(setup.observer.Has("e1"));
     CHECK_FALSE(setup.observer.Has("e7"));
   }
@@ -322,14 +322,14 @@
 {
   SettledSetup()
   {
-    this->Pass(DirectoryKeeper::kReturnGrace + milliseconds(200));
+    this->Pass(DirectoryCache::kReturnGrace + milliseconds(200));
   }
   std::uint64_t CallsIn(Duration aTime, bool aWithReports)
   {
     const std::uint64_t before = this->store.CallsSent();
     for (Duration at{ 0 }; at < aTime; at += milliseconds(10)) {
       if (aWithReports) {
-        this->directory.NoteOthersList(
+        this->directory.OnPeerList(
           { this->directory.List(Now()).checksum, milliseconds(1) }, Now());
       }
       this->Pass(milliseconds(10));
@@ -353,11 +353,11 @@
   CHECK(withReports < alone);
   CHECK(withReports >= 10);
   // The reported age is that of the gateway's own read.
-  setup.directory.NoteOthersList(
+  setup.directory.OnPeerList(
     { setup.directory.List(Now()).checksum, milliseconds(0) }, Now());
   setup.store.mode = FakeStore::Mode::Down;
   setup.Pass(milliseconds(200));
-  setup.directory.NoteOthersList(
+  setup.directory.OnPeerList(
     { setup.directory.List(Now()).checksum, milliseconds(0) }, Now());
   CHECK(setup.directory.List(Now()).age >= milliseconds(150));
 }
@@ -370,7 +370,7 @@
   REQUIRE(sum != 0);
   setup.store.mode = FakeStore::Mode::Down;
   setup.Pass(milliseconds(100));
-  setup.directory.NoteOthersList({ sum + 1, milliseconds(0) }, Now());
+  setup.directory.OnPeerList({ sum + 1, milliseconds(0) }, Now());
   CHECK_FALSE(setup.directory.IsBehind(Now()));
   CHECK(setup.Until([&] { return setup.directory.IsBehind(Now()); }));
   setup.store.mode = FakeStore::Mode::Up;
--- a/test/GatewayParts.cpp
+++ b/test/GatewayParts.cpp
@@ -123,7 +123,7 @@
   CHECK(table.Expire(At(seconds(2))).size() == 1);
   CHECK(table.Total(e1) == table.Own(e1));
   table.RemoveOwn(e1, { 9, { 900 }, 90 });
-  CHECK(table.Total(e1).IsNothing());
+  CHECK(table.Total(e1).IsZero());
   CHECK(table.OwnLines().empty());
 }
 
@@ -137,12 +137,12 @@
   // Cached steps of one model are of no use to another.
   CHECK(steps[1].hash != StepsOf(parts, "other")[1].hash);
   const InstanceName e1("e1");
-  CacheBelief caches;
+  CacheTracker caches;
   caches.OnUsed(e1, std::span(steps).last(1), 0);
-  CHECK(caches.TokensHeld(e1, steps) == 0);
+  CHECK(caches.CachedPrefixTokens(e1, steps) == 0);
   caches.OnUsed(e1, std::span(steps).first(1), 0);
-  CHECK(caches.TokensHeld(e1, steps) == 150);
-  CHECK(caches.TokensHeld(InstanceName("e2"), steps) == 0);
+  CHECK(caches.CachedPrefixTokens(e1, steps) == 150);
+  CHECK(caches.CachedPrefixTokens(InstanceName("e2"), steps) == 0);
 }
 
 // Guards against placing prompts by a shared prefix that the server's cache has
@@ -151,14 +151,14 @@
 {
   constexpr std::uint64_t kRoom = 1000;
   const InstanceName server("e1");
-  CacheBelief caches;
+  CacheTracker caches;
   const auto use = [&](std::uint64_t aShared, std::uint64_t aOwn) {
     const std::vector<PromptPart> parts{ { aShared, 300 }, { aOwn, 100 } };
     caches.OnUsed(server, StepsOf(parts), kRoom);
   };
   const auto held = [&](std::uint64_t aShared) {
     const std::vector<PromptPart> parts{ { aShared, 300 } };
-    return caches.TokensHeld(server, StepsOf(parts));
+    return caches.CachedPrefixTokens(server, StepsOf(parts));
   };
   use(1, 10);
   use(2, 20);
@@ -179,7 +179,7 @@
     const auto room = *rc::gen::inRange<std::uint64_t>(1, 5000);
     const auto prompts = *rc::gen::container<std::vector<std::vector<int>>>(
       rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 30)));
-    CacheBelief caches;
+    CacheTracker caches;
     const InstanceName server("e1");
     for (const std::vector<int>& prompt : prompts) {
       std::vector<PromptPart> parts;
@@ -191,9 +191,10 @@
       }
       const auto steps = StepsOf(parts);
       caches.OnUsed(server, steps, room);
-      RC_ASSERT(caches.TokensHeld(server, steps) <=
+      RC_ASSERT(caches.CachedPrefixTokens(server, steps) <=
                 std::max<std::uint64_t>(room, tokens));
-      RC_ASSERT(tokens > room || caches.TokensHeld(server, steps) == tokens);
+      RC_ASSERT(tokens > room ||
+                caches.CachedPrefixTokens(server, steps) == tokens);
       RC_ASSERT(caches.StepCount() <= std::max<std::size_t>(room / 10, 1));
     }
   }));
@@ -258,7 +259,7 @@
           "[choice]")
 {
   DirectDemand demand = Demand(800, false);
-  demand.tokensPerTurn = 2000;
+  demand.tokensPerQueuePosition = 2000;
   std::vector<DirectCandidate> engines{ Candidate("full", 20, 0),
                                         Candidate("reads", 2, 5000) };
   engines[1].recentLongTokens = 30'000;
@@ -269,17 +270,17 @@
 
 TEST_CASE("prefill speed and request duration are measured", "[prefill]")
 {
-  PrefillFlow flow;
-  CHECK_FALSE(flow.TokensPerTurn(8).has_value());
+  PrefillStatistics flow;
+  CHECK_FALSE(flow.TokensPerQueuePosition(8).has_value());
   flow.OnRequest(1000);
-  flow.OnStay(seconds(2));
+  flow.OnRequestTime(seconds(2));
   // Short prompts give no sample of the speed.
   flow.OnFirstToken(InstanceName("e1"), 10, milliseconds(50));
-  CHECK_FALSE(flow.TokensPerTurn(8).has_value());
+  CHECK_FALSE(flow.TokensPerQueuePosition(8).has_value());
   flow.OnFirstToken(InstanceName("e1"), 10'000, milliseconds(250));
-  REQUIRE(flow.TokensPerTurn(8).has_value());
-  CHECK(*flow.TokensPerTurn(8) == Approx(40.0 * 2000 / 8));
-  CHECK_FALSE(flow.TokensPerTurn(0).has_value());
+  REQUIRE(flow.TokensPerQueuePosition(8).has_value());
+  CHECK(*flow.TokensPerQueuePosition(8) == Approx(40.0 * 2000 / 8));
+  CHECK_FALSE(flow.TokensPerQueuePosition(0).has_value());
 }
 
 TEST_CASE("ejected servers are chosen only if there is no other", "[choice]")
@@ -287,7 +288,7 @@
   const DirectDemand demand;
   std::vector<DirectCandidate> servers{ Candidate("out", 0, 0),
                                         Candidate("busy", 7, 0) };
-  servers[0].healthState = Standing::Ejected;
+  servers[0].healthState = HealthState::Ejected;
   CHECK(Chosen(servers, demand) == "busy");
   servers.pop_back();
   CHECK(Chosen(servers, demand) == "out");
@@ -297,7 +298,7 @@
 TEST_CASE("the threshold of a long prompt follows the prompts seen",
           "[prefill]")
 {
-  PrefillFlow flow;
+  PrefillStatistics flow;
   CHECK_FALSE(flow.IsLong(100'000));
   for (int i = 0; i < 100; ++i) {
     flow.OnRequest(i % 3 == 0 ? 9000 : 800);
@@ -305,7 +306,7 @@
   CHECK(flow.IsLong(9000));
   CHECK_FALSE(flow.IsLong(800));
   const InstanceName e1("e1");
-  flow.OnStay(seconds(1));
+  flow.OnRequestTime(seconds(1));
   flow.OnLongPrompt(e1, 5000, At(seconds(0)));
   CHECK(flow.RecentLongTokens(e1, At(seconds(0))) == Approx(5000));
   CHECK(flow.RecentLongTokens(e1, At(seconds(1))) ==
@@ -326,7 +327,7 @@
   digest.routed = { { InstanceName("e2"), { { 4, 40 }, { 5, 50 } }, 6 } };
   digest.crashes.evidence = { { 10, 11, CrashWeight::Late } };
   digest.crashes.verdicts = { { 12, 13, true, seconds(14) } };
-  digest.suspectsUnderWay = { 15 };
+  digest.suspectsInFlight = { 15 };
   digest.rates = { { InstanceName("e3"), 2.5, milliseconds(16) },
                    { InstanceName("e4"), std::nullopt, milliseconds(17) } };
   digest.leaving = { { InstanceName("e5"), milliseconds(18) } };
@@ -345,7 +346,7 @@
   CHECK(read->routed[0].longTokens == 6);
   CHECK(read->crashes.evidence == digest.crashes.evidence);
   CHECK(read->crashes.verdicts == digest.crashes.verdicts);
-  CHECK(read->suspectsUnderWay == digest.suspectsUnderWay);
+  CHECK(read->suspectsInFlight == digest.suspectsInFlight);
   CHECK(read->rates == digest.rates);
   CHECK(read->leaving == digest.leaving);
   CHECK_FALSE(ReadDigest(bytes, "another").ok());
@@ -382,7 +383,7 @@
 {
   const auto loop = *EventLoop::Create();
   Duration lost{ 0 };
-  SuspensionWatch watch(*loop, [&](Duration aLost) { lost = aLost; });
+  SuspensionDetector watch(*loop, [&](Duration aLost) { lost = aLost; });
   loop->RunUntil([] { return false; }, milliseconds(600));
   CHECK(lost == Duration::zero());
   usleep(800'000);
@@ -395,7 +396,7 @@
 // a prompt joins.
 TEST_CASE("the wait in a queue is estimated from measured speed", "[prefill]")
 {
-  PrefillFlow flow;
+  PrefillStatistics flow;
   const InstanceName fast("fast");
   const InstanceName slow("slow");
   CHECK_FALSE(flow.WaitBehind(fast, 1000).has_value());
@@ -418,7 +419,7 @@
 // prompts and so answer later than others.
 TEST_CASE("a server with much prefill is not ejected as slow", "[prefill]")
 {
-  PrefillFlow flow;
+  PrefillStatistics flow;
   for (int i = 0; i < 40; ++i) {
     flow.OnRequest(i % 2 == 0 ? 9000 : 800);
     flow.OnFirstToken(InstanceName("e1"), 9000, milliseconds(225));
@@ -441,14 +442,14 @@
   route.maxAttempts = 2;
   route.target = milliseconds(600);
   route.targetGap = milliseconds(200);
-  const AttemptPatience first = PatienceFor(route, 0, seconds(6));
+  const AttemptTimeouts first = TimeoutsFor(route, 0, seconds(6));
   CHECK(first.firstResponse == milliseconds(1800));
   CHECK(first.betweenEvents == milliseconds(1000));
   // Half of the remaining time is left for the other server.
-  CHECK(PatienceFor(route, 0, seconds(2)).firstResponse == seconds(1));
-  CHECK(PatienceFor(route, 1, seconds(6)).firstResponse == Duration::zero());
+  CHECK(TimeoutsFor(route, 0, seconds(2)).firstResponse == seconds(1));
+  CHECK(TimeoutsFor(route, 1, seconds(6)).firstResponse == Duration::zero());
   route.isResumable = false;
-  CHECK(PatienceFor(route, 0, seconds(6)).firstResponse == Duration::zero());
+  CHECK(TimeoutsFor(route, 0, seconds(6)).firstResponse == Duration::zero());
 }
 
 TEST_CASE(
@@ -487,7 +488,7 @@
   }
   CHECK(taken.count(0) == 10);
   CHECK(taken.count(1) == 10);
-  engines[2].healthState = Standing::Ejected;
+  engines[2].healthState = HealthState::Ejected;
   CHECK(*turns->Choose(engines, demand, random) != 2);
   CHECK(DirectChooser::Create("best") == nullptr);
 }
--- a/test/LeavingServers.cpp
+++ b/test/LeavingServers.cpp
@@ -90,7 +90,7 @@
   CHECK_FALSE(own.OnAnswer(server, start + seconds(1)));
   REQUIRE(own.OutgoingUpdates(start + seconds(5)).size() == 1);
   CHECK(own.OutgoingUpdates(start + seconds(5))[0].age == seconds(5));
-  CHECK(own.OutgoingUpdates(start + LeavingServers::kTell).empty());
+  CHECK(own.OutgoingUpdates(start + LeavingServers::kAnnouncePeriod).empty());
   CHECK(own.Contains(server));
 
   LeavingServers other;
@@ -99,7 +99,8 @@
   // Forwarding a report does not make it younger.
   CHECK(other.OutgoingUpdates(start + seconds(10)).empty());
   CHECK(other.Contains(server));
-  CHECK_FALSE(other.OnUpdate({ InstanceName("e2"), std::chrono::hours(1) }, start));
+  CHECK_FALSE(
+    other.OnUpdate({ InstanceName("e2"), std::chrono::hours(1) }, start));
 }
 
 TEST_CASE("the earliest departures are evicted when there are too many",
@@ -113,7 +114,8 @@
   }
   CHECK_FALSE(servers.Contains(InstanceName("e0")));
   CHECK(servers.Contains(InstanceName("e10")));
-  CHECK(servers.OutgoingUpdates(start + seconds(10)).size() == LeavingServers::kMaxUpdates);
+  CHECK(servers.OutgoingUpdates(start + seconds(10)).size() ==
+        LeavingServers::kMaxUpdates);
 }
 
 TEST_CASE("a listed server stays unused after its departure is forgotten",
--- a/test/Membership.cpp
+++ b/test/Membership.cpp
@@ -62,7 +62,7 @@
 
   setup.directory.OnRefused(kName, setup.now, kMiddle);
   setup.now += seconds(1);
-  CHECK(setup.directory.DueForTrial(kService, setup.now).size() == 1);
+  CHECK(setup.directory.DueForProbe(kService, setup.now).size() == 1);
   setup.directory.OnConnected(kName, 11);
   CHECK_FALSE(setup.IsUsable());
   setup.directory.OnConnected(kName, 12);
--- a/test/Placement.cpp
+++ b/test/Placement.cpp
@@ -125,7 +125,7 @@
   servers[1].work.PrefillAt(0) = 0;
   CHECK(Chosen(servers, interactive) == "reads");
   // All servers for long prompts are ejected.
-  servers[1].healthState = Standing::Ejected;
+  servers[1].healthState = HealthState::Ejected;
   CHECK(Chosen(servers, longDemand) == "kept");
   // If only reserved servers are left, a long prompt uses them.
   servers.pop_back();
@@ -243,13 +243,13 @@
   DirectDemand note;
   note.promptTokens = 800;
   note.rank = 0;
-  note.turnRank = 0;
+  note.queueRank = 0;
   const std::vector<DirectCandidate> servers{ full("notes", 40),
                                               full("scans", 10) };
   CHECK(Chosen(servers, note) == "scans");
   // A scan waits behind all of them at either server.
   DirectDemand scan = note;
-  scan.rank = scan.turnRank = 1;
+  scan.rank = scan.queueRank = 1;
   CHECK(DirectCost(servers[0], scan, 0) == DirectCost(servers[1], scan, 0));
   // Requests that an older gateway reports without ranks count as ahead.
   DirectCandidate unranked = servers[1];
--- a/test/Placer.cpp
+++ b/test/Placer.cpp
@@ -32,10 +32,10 @@
 }
 
 /// A measured speed of 20 tokens per millisecond at every server.
-PrefillFlow
+PrefillStatistics
 MeasuredStatistics()
 {
-  PrefillFlow statistics;
+  PrefillStatistics statistics;
   for (int i = 0; i < 20; ++i) {
     statistics.OnRequest(9000);
     statistics.OnFirstToken(InstanceName("any"), 9000, milliseconds(450));
@@ -87,7 +87,7 @@
   CHECK_FALSE(
     CacheFetchPolicy::Create(false)->SourceFor(servers, 0, random).has_value());
   // An ejected server may not answer.
-  servers[2].healthState = Standing::Ejected;
+  servers[2].healthState = HealthState::Ejected;
   CHECK(SourceOf(servers) == "some");
   // A transfer takes longer than the prefill of so few tokens.
   servers[1].cachedTokens = 600;
@@ -126,7 +126,7 @@
   REQUIRE(placed->fetch.has_value());
   CHECK(placed->work.Prefill() == 3000);
   PlacementRequest again = Request(demand);
-  again.wasRead = true;
+  again.mayHaveBeenPrefilled = true;
   const auto alone = Placed(servers, again);
   CHECK_FALSE(alone->fetch.has_value());
   CHECK(alone->work.Prefill() == 9000);
@@ -194,15 +194,15 @@
   CHECK(rc::check([] {
     const auto ranks = *rc::gen::inRange<std::uint32_t>(1, 2 * kPriorities);
     for (std::uint32_t rank = 0; rank < ranks; ++rank) {
-      const OrderPlaces levels = PlacesOf(rank, ranks);
+      const PriorityLevels levels = PriorityLevelsOf(rank, ranks);
       RC_ASSERT(levels.inTime <= levels.late);
       RC_ASSERT(levels.late < kPriorities);
       if (rank + 1 < ranks && ranks <= kPriorities) {
-        RC_ASSERT(levels.late < PlacesOf(rank + 1, ranks).inTime);
+        RC_ASSERT(levels.late < PriorityLevelsOf(rank + 1, ranks).inTime);
       }
     }
     // The last ranks have two priorities as far as there are enough.
-    const OrderPlaces last = PlacesOf(ranks - 1, ranks);
+    const PriorityLevels last = PriorityLevelsOf(ranks - 1, ranks);
     RC_ASSERT((ranks < kPriorities) == (last.inTime < last.late));
   }));
 }
--- a/test/PlatformAdapter.cpp
+++ b/test/PlatformAdapter.cpp
@@ -220,7 +220,7 @@
                       { "Dogwoodvale-Model", "m" },
                       { "Dogwoodvale-Prompt-Prefix",
                         "5c1e07a2:800,91bd3f06:410,zz:1,e4402b7d:250" } };
-  const CallerEnvelope envelope = dialect->Read(request);
+  const CallerRequestMetadata envelope = dialect->Read(request);
   CHECK(envelope.attemptId == "a1");
   CHECK(envelope.timeLimit == milliseconds(250));
   CHECK(envelope.promptTokens == 1460);
@@ -251,7 +251,7 @@
   request.headers = { { "Last-Event-Id", "3" },
                       { "X-Other", "kept" },
                       { "Kv-Fetch", "10.0.0.9:1" } };
-  BackendOrder order;
+  BackendRequestMetadata order;
   order.server = InstanceName("e1");
   order.timeLeft = milliseconds(900);
   order.priority = 12;
--- a/test/PlatformNotices.cpp
+++ b/test/PlatformNotices.cpp
@@ -57,22 +57,22 @@
     const std::vector<HeaderField> headers{ { "retry-after", aValue } };
     return NoticeOf(headers, aStatus);
   };
-  CHECK(rest("3", 503).restFor == seconds(3));
-  CHECK(rest("0.25", 503).restFor == milliseconds(250));
-  CHECK(rest("3", 429).restFor == seconds(3));
-  CHECK_FALSE(rest("3", 200).restFor.has_value());
-  CHECK_FALSE(rest("3", 500).restFor.has_value());
-  CHECK_FALSE(NoticeOf({}, 503).restFor.has_value());
+  CHECK(rest("3", 503).backoffFor == seconds(3));
+  CHECK(rest("0.25", 503).backoffFor == milliseconds(250));
+  CHECK(rest("3", 429).backoffFor == seconds(3));
+  CHECK_FALSE(rest("3", 200).backoffFor.has_value());
+  CHECK_FALSE(rest("3", 500).backoffFor.has_value());
+  CHECK_FALSE(NoticeOf({}, 503).backoffFor.has_value());
   CHECK_FALSE(NoticeOf({}, 503).isMalformed);
-  CHECK(rest("99999999999999999999", 503).restFor > std::chrono::hours(1));
+  CHECK(rest("99999999999999999999", 503).backoffFor > std::chrono::hours(1));
   for (const char* text : { "", "-1", "soon", "1,2", "Thu, 03 Dec 2026" }) {
     INFO(text);
-    CHECK_FALSE(rest(text, 503).restFor.has_value());
+    CHECK_FALSE(rest(text, 503).backoffFor.has_value());
     CHECK(rest(text, 503).isMalformed);
   }
   const std::vector<HeaderField> twice{ { "Retry-After", "1" },
                                         { "Retry-After", "2" } };
-  CHECK(NoticeOf(twice, 503).restFor == seconds(2));
+  CHECK(NoticeOf(twice, 503).backoffFor == seconds(2));
 }
 
 TEST_CASE("a server that leaves says 1", "[notices]")
--- a/test/QuarantineKeeper.cpp
+++ b/test/QuarantineStore.cpp
@@ -24,11 +24,11 @@
   std::unique_ptr<EventLoop> loop = *EventLoop::Create();
   FakeStore store{ *loop };
   std::vector<QuarantineVerdict> read;
-  QuarantineKeeper quarantines{ *loop,
-                                store,
-                                [this](const QuarantineVerdict& aOne) {
-                                  this->read.push_back(aOne);
-                                } };
+  QuarantineStore quarantines{ *loop,
+                               store,
+                               [this](const QuarantineVerdict& aOne) {
+                                 this->read.push_back(aOne);
+                               } };
 };
 
 } // namespace
--- a/test/RateModel.cpp
+++ b/test/RateModel.cpp
@@ -33,8 +33,8 @@
   virtual void OnAnswer(const InstanceName& aServer,
                         double aPerSecond,
                         TimePoint aNow) = 0;
-  virtual std::vector<RateNews> Tell(TimePoint aNow) = 0;
-  virtual void Hear(const RateNews& aUpdate, TimePoint aNow) = 0;
+  virtual std::vector<RateUpdate> Tell(TimePoint aNow) = 0;
+  virtual void Hear(const RateUpdate& aUpdate, TimePoint aNow) = 0;
 };
 
 /// The limiter in use: few gateways hold shares of a server's rate.
@@ -64,11 +64,11 @@
   {
     this->rates.OnAnswer(aServer, aPerSecond, aNow);
   }
-  std::vector<RateNews> Tell(TimePoint aNow) override
+  std::vector<RateUpdate> Tell(TimePoint aNow) override
   {
     return this->rates.OutgoingUpdates(aNow);
   }
-  void Hear(const RateNews& aUpdate, TimePoint aNow) override
+  void Hear(const RateUpdate& aUpdate, TimePoint aNow) override
   {
     this->rates.OnUpdate(aUpdate, aNow);
   }
@@ -115,11 +115,11 @@
       this->known.push_back({ aServer, aPerSecond, milliseconds(0) });
     }
   }
-  std::vector<RateNews> Tell(TimePoint /*aNow*/) override
+  std::vector<RateUpdate> Tell(TimePoint /*aNow*/) override
   {
     return this->known;
   }
-  void Hear(const RateNews& aUpdate, TimePoint aNow) override
+  void Hear(const RateUpdate& aUpdate, TimePoint aNow) override
   {
     this->OnAnswer(aUpdate.server, aUpdate.perSecond.value_or(0), aNow);
   }
@@ -128,7 +128,7 @@
   std::size_t gateways;
   std::size_t inCell;
   std::map<InstanceName, TokenBucket> buckets;
-  std::vector<RateNews> known;
+  std::vector<RateUpdate> known;
 };
 
 struct Fleet
@@ -240,7 +240,7 @@
   {
     TimePoint at{};
     std::size_t to = 0;
-    std::shared_ptr<const std::vector<RateNews>> updates;
+    std::shared_ptr<const std::vector<RateUpdate>> updates;
   };
 
   double Worst(std::span<const TimePoint> aArrivals) const
@@ -281,7 +281,7 @@
     while (!this->inFlight.empty() && this->inFlight.front().at <= this->now) {
       const Digest digest = std::move(this->inFlight.front());
       this->inFlight.pop_front();
-      for (const RateNews& update : *digest.updates) {
+      for (const RateUpdate& update : *digest.updates) {
         const std::size_t number = NumberOf(update.server);
         if (this->CanUse(digest.to, number)) {
           this->limiters[digest.to]->Hear(update, this->now);
@@ -373,10 +373,10 @@
           0) {
         continue;
       }
-      const auto updates = std::make_shared<const std::vector<RateNews>>(
+      const auto updates = std::make_shared<const std::vector<RateUpdate>>(
         this->limiters[i]->Tell(this->now));
       ++this->digests;
-      for (const RateNews& update : *updates) {
+      for (const RateUpdate& update : *updates) {
         constexpr double kFixedBytes = 13;
         this->updateBytes +=
           kFixedBytes + static_cast<double>(update.server.Value().size());
--- a/test/RequestsAtMostOnce.cpp
+++ b/test/RequestsAtMostOnce.cpp
@@ -220,7 +220,8 @@
     if (request.isFinal || aMessage.id != request.attempt->Id()) {
       return;
     }
-    request.attempt->OnSidecarSays(aMessage.incarnation, aMessage.disposition);
+    request.attempt->OnDispositionReported(aMessage.incarnation,
+                                           aMessage.disposition);
     this->OnAttemptOver(aMessage.request);
   }
 
--- a/test/RoutesCatchUp.cpp
+++ b/test/RoutesCatchUp.cpp
@@ -31,7 +31,7 @@
           "[catchup]")
 {
   Setup setup;
-  setup.catchUp.OnTold(kFirst, 6, At(0));
+  setup.catchUp.OnPeerVersion(kFirst, 6, At(0));
   CHECK_FALSE(setup.catchUp.Next(At(299), setup.random));
   CHECK(setup.catchUp.Next(At(300), setup.random) == kFirst);
   setup.catchUp.OnInForce(6);
@@ -43,7 +43,7 @@
 {
   Setup setup;
   setup.catchUp.SetWatching(false);
-  setup.catchUp.OnTold(kFirst, 6, At(0));
+  setup.catchUp.OnPeerVersion(kFirst, 6, At(0));
   CHECK(setup.catchUp.Next(At(0), setup.random) == kFirst);
 }
 
@@ -53,8 +53,8 @@
 {
   Setup setup;
   setup.catchUp.SetWatching(false);
-  setup.catchUp.OnTold(kFirst, 6, At(0));
-  setup.catchUp.OnTold(kSecond, 6, At(0));
+  setup.catchUp.OnPeerVersion(kFirst, 6, At(0));
+  setup.catchUp.OnPeerVersion(kSecond, 6, At(0));
   const auto from = setup.catchUp.Next(At(0), setup.random);
   REQUIRE(from);
   setup.catchUp.OnAsked();
@@ -69,11 +69,11 @@
           "[catchup]")
 {
   Setup setup;
-  setup.catchUp.OnTold(kFirst, 9, At(0));
+  setup.catchUp.OnPeerVersion(kFirst, 9, At(0));
   CHECK(setup.catchUp.IsBehind(At(100)));
   CHECK_FALSE(setup.catchUp.IsBehind(At(3001)));
   CHECK(setup.catchUp.Newest(At(3001)) == 5);
-  setup.catchUp.OnTold(kSecond, 6, At(9000));
+  setup.catchUp.OnPeerVersion(kSecond, 6, At(9000));
   CHECK(setup.catchUp.BehindFor(At(9100)) == milliseconds(100));
 }
 
@@ -90,7 +90,7 @@
     Setup setup;
     setup.catchUp.SetWatching(false);
     for (int g = 0; g < kGateways; ++g) {
-      setup.catchUp.OnTold(
+      setup.catchUp.OnPeerVersion(
         { "10.0.0.9", static_cast<std::uint16_t>(7000 + g) }, 6, At(0));
     }
     ++asked[*setup.catchUp.Next(At(0), random)];
@@ -153,7 +153,7 @@
           const Epoch reported = this->Chance(0.1) && this->before[from] > 0
                                    ? this->before[from]
                                    : this->gateways[from].version;
-          this->gateways[to].catchUp.OnTold(
+          this->gateways[to].catchUp.OnPeerVersion(
             AddressOf(from), reported, At(this->now));
         }
       }
--- a/test/RoutingChoice.cpp
+++ b/test/RoutingChoice.cpp
@@ -78,14 +78,14 @@
           table.SetAvailable(ServerName(index), false);
           break;
         case 2:
-          table.SetStanding(ServerName(index), Standing::Ejected);
+          table.SetHealthState(ServerName(index), HealthState::Ejected);
           break;
         case 3:
-          table.SetStanding(ServerName(index), Standing::OnTrial);
+          table.SetHealthState(ServerName(index), HealthState::Probing);
           table.OnSent(ServerName(index), 10, 0);
           break;
         case 4:
-          table.SetStanding(ServerName(index), Standing::OnTrial);
+          table.SetHealthState(ServerName(index), HealthState::Probing);
           candidates.insert(ServerName(index));
           break;
         default:
--- a/test/RoutingHealth.cpp
+++ b/test/RoutingHealth.cpp
@@ -56,11 +56,11 @@
   CHECK(health.Evaluate(kStart + milliseconds(4900), 0.5).empty());
   changes = health.Evaluate(kStart + seconds(5), 0.5);
   REQUIRE(changes.size() == 1);
-  CHECK(health.HealthStateOf(ServerName(3)) == Standing::OnTrial);
+  CHECK(health.HealthStateOf(ServerName(3)) == HealthState::Probing);
 
   health.OnStepTime(ServerName(3), milliseconds(30));
   CHECK(health.Evaluate(kStart + seconds(6), 0.5).size() == 1);
-  CHECK(health.HealthStateOf(ServerName(3)) == Standing::Ejected);
+  CHECK(health.HealthStateOf(ServerName(3)) == HealthState::Ejected);
   CHECK(health.Evaluate(kStart + seconds(15), 0.5).empty());
   CHECK(health.Evaluate(kStart + seconds(16), 0.5).size() == 1);
 
@@ -85,7 +85,7 @@
   const auto changes = health.Evaluate(kStart + seconds(1), 1.2);
   REQUIRE(changes.size() == 1);
   CHECK(std::string_view(changes[0].reason) == "needed");
-  CHECK(health.HealthStateOf(ServerName(0)) == Standing::InService);
+  CHECK(health.HealthStateOf(ServerName(0)) == HealthState::InService);
 }
 
 TEST_CASE("A crashed server is ejected at once")
@@ -93,7 +93,7 @@
   HealthTracker health = MakeTracker(3);
   health.OnCrash(ServerName(1));
   REQUIRE(health.Evaluate(kStart, 0.99).size() == 1);
-  CHECK(health.HealthStateOf(ServerName(1)) == Standing::Ejected);
+  CHECK(health.HealthStateOf(ServerName(1)) == HealthState::Ejected);
 }
 
 TEST_CASE("No server is ejected when the whole service slows down")
@@ -134,7 +134,7 @@
     }
   }
   REQUIRE(health.Evaluate(kStart, 0.5).size() == 1);
-  CHECK(health.HealthStateOf(ServerName(0)) == Standing::Ejected);
+  CHECK(health.HealthStateOf(ServerName(0)) == HealthState::Ejected);
 }
 
 TEST_CASE("The ejected share is bounded for any input")
@@ -149,7 +149,7 @@
       *rc::gen::container<std::vector<std::pair<int, std::size_t>>>(
         rc::gen::pair(rc::gen::inRange(0, 6),
                       rc::gen::inRange<std::size_t>(0, size)));
-    std::map<InstanceName, Standing> reported;
+    std::map<InstanceName, HealthState> reported;
     for (const auto& [action, index] : steps) {
       const InstanceName name = ServerName(index);
       switch (action) {
@@ -175,8 +175,8 @@
         reported[change.name] = change.healthState;
       }
       const auto maxUnhealthy = std::max(1.0, 0.3 * static_cast<double>(size));
-      RC_ASSERT(static_cast<double>(health.OutCount()) <= maxUnhealthy);
-      RC_ASSERT(health.OutCount() < size);
+      RC_ASSERT(static_cast<double>(health.UnhealthyCount()) <= maxUnhealthy);
+      RC_ASSERT(health.UnhealthyCount() < size);
       for (const auto& [changed, state] : reported) {
         RC_ASSERT(health.HealthStateOf(changed) == state);
       }
@@ -193,7 +193,7 @@
     now += seconds(1);
     Fail(health, ServerName(2), 6);
     for (const HealthChange& change : health.Evaluate(now, 0.3)) {
-      if (change.healthState == Standing::OnTrial) {
+      if (change.healthState == HealthState::Probing) {
         CHECK(Between(lastProbe, now) <= seconds(125));
         lastProbe = now;
       }
--- a/test/SchedulingEstimates.cpp
+++ b/test/SchedulingEstimates.cpp
@@ -100,7 +100,7 @@
                     static_cast<Tier>(*rc::gen::inRange(0, 4)),
                     *rc::gen::inRange<std::uint32_t>(0, 8000));
       request.idempotent = *rc::gen::inRange(0, 3) > 0;
-      request.tokensDone = *rc::gen::inRange<std::uint32_t>(0, 2000);
+      request.tokensGenerated = *rc::gen::inRange<std::uint32_t>(0, 2000);
       request.preemptions = *rc::gen::inRange<std::uint32_t>(0, 4);
       request.startedOverdue = *rc::gen::inRange(0, 4) == 0;
       running.push_back(request);
--- a/test/ServerRates.cpp
+++ b/test/ServerRates.cpp
@@ -145,7 +145,7 @@
   CHECK(CountSent(rates, kStart, kSettle) == 0);
   CHECK(CountSent(rates, kStart + kSettle, seconds(1)) > 0);
   const TimePoint resumed = kStart + seconds(10);
-  rates.Allocator().Distrust(resumed);
+  rates.Allocator().SuspendShares(resumed);
   CHECK(CountSent(rates, resumed, kSettle) == 0);
   CHECK(CountSent(rates, resumed + kSettle, seconds(1)) > 0);
 }
@@ -159,7 +159,7 @@
     const auto size = *rc::gen::inRange<std::size_t>(1, 12);
     const double rate = 0.1 * *rc::gen::inRange(1, 200);
     auto fleet = Gateways(size);
-    std::vector<RateHolders> gateways;
+    std::vector<RateAllocator> gateways;
     for (const InstanceName& name : fleet) {
       gateways.emplace_back(name, kSettle);
       gateways.back().SetGateways(fleet, kStart);
@@ -191,7 +191,7 @@
           burst += share.burst;
         }
         RC_ASSERT(held <= rate * 1.0001);
-        RC_ASSERT(burst <= (rate + RateHolders::kSavedBeside) * 1.0001);
+        RC_ASSERT(burst <= (rate + RateAllocator::kExtraBurst) * 1.0001);
       }
     }
   });
@@ -207,7 +207,7 @@
     double held = 0;
     double burst = 0;
     for (const InstanceName& name : fleet) {
-      RateHolders allocator(name, kSettle);
+      RateAllocator allocator(name, kSettle);
       allocator.SetGateways(fleet, kStart);
       allocator.Version(kStart + kSettle);
       const RateShare share = allocator.ShareOf(kServer, rate, 1);
@@ -216,7 +216,7 @@
     }
     RC_ASSERT(held > 0.9 * rate);
     RC_ASSERT(held <= rate);
-    RC_ASSERT(burst <= (rate + RateHolders::kSavedBeside) * 1.0001);
+    RC_ASSERT(burst <= (rate + RateAllocator::kExtraBurst) * 1.0001);
   });
 }
 
@@ -226,7 +226,7 @@
   const auto fleet = Gateways(100);
   double held = 0;
   for (const InstanceName& name : fleet) {
-    RateHolders allocator(name, kSettle);
+    RateAllocator allocator(name, kSettle);
     allocator.SetGateways(fleet, kStart);
     allocator.Version(kStart + kSettle);
     const RateShare share = allocator.ShareOf(kServer, 5, kCells);
--- a/test/StoreEra.cpp
+++ b/test/StoreEra.cpp
@@ -122,15 +122,15 @@
   departures.OnChange(all, left, At(seconds(0)));
   departures.OnChange(left, ListOf({ Server("b") }), At(seconds(1)));
   Instances read = all;
-  departures.DropGhosts(read, At(seconds(10)));
+  departures.DropDeparted(read, At(seconds(10)));
   CHECK(read.size() == 3);
   departures.DistrustUntil(At(seconds(20)));
-  departures.DropGhosts(read, At(seconds(11)));
+  departures.DropDeparted(read, At(seconds(11)));
   REQUIRE(read.size() == 1);
   CHECK(read.contains(InstanceName("b")));
   // A server that is still listed afterwards renews its entry, so it is live.
   Instances later = all;
-  departures.DropGhosts(later, At(seconds(21)));
+  departures.DropDeparted(later, At(seconds(21)));
   CHECK(later.size() == 3);
 }
 
@@ -139,7 +139,7 @@
 {
   const auto loop = *EventLoop::Create();
   FakeStore store(*loop);
-  QuarantineKeeper quarantines(*loop, store, [](const QuarantineVerdict&) {});
+  QuarantineStore quarantines(*loop, store, [](const QuarantineVerdict&) {});
   quarantines.RunMaintenance();
   QuarantineVerdict verdict;
   verdict.request = 7;
@@ -147,7 +147,7 @@
   verdict.left = seconds(60);
   quarantines.Persist(verdict);
   const std::string key =
-    fmt::format("{}{}", QuarantineKeeper::kPrefix, FingerprintText(7));
+    fmt::format("{}{}", QuarantineStore::kPrefix, FingerprintText(7));
   REQUIRE(
     loop->RunUntil([&] { return !store.ValueOf(key).empty(); }, seconds(2)));
   quarantines.RunMaintenance();
--- a/test/UsageLedger.cpp
+++ b/test/UsageLedger.cpp
@@ -39,7 +39,7 @@
     UsageLedger sender(Source("a"));
     UsageLedger receiver(Source("b"));
     UsageCounts truth;
-    std::vector<std::vector<UsageNews>> sent;
+    std::vector<std::vector<UsageUpdate>> sent;
     const auto requests = *rc::gen::inRange(1, 60);
     for (int i = 0; i < requests; ++i) {
       const CustomerName customer =
@@ -75,7 +75,7 @@
   for (int i = 0; i < UsageLedger::kTransmissions; ++i) {
     static_cast<void>(sender.OutgoingUpdates());
   }
-  const std::vector<UsageNews> bare = sender.OutgoingUpdates();
+  const std::vector<UsageUpdate> bare = sender.OutgoingUpdates();
   REQUIRE(bare.size() == 1);
   CHECK(bare[0].counts.empty());
   receiver.OnUpdate(Source("a"), bare);
@@ -88,7 +88,7 @@
 {
   UsageLedger again(Source("a", 2));
   again.Count(kWindow, CustomerOf(1));
-  const std::vector<UsageNews> before{
+  const std::vector<UsageUpdate> before{
     { kWindow, 5, { { CustomerOf(1), 5 } } }
   };
   again.OnUpdate(Source("a", 1), before);
@@ -102,8 +102,9 @@
   for (std::uint64_t i = 0; i < 2 * UsageLedger::kMaxCountsPerUpdate; ++i) {
     ledger.Count(kWindow, CustomerOf(i));
   }
-  CHECK(ledger.OutgoingUpdates()[0].counts.size() == UsageLedger::kMaxCountsPerUpdate);
-  std::vector<UsageNews> many;
+  CHECK(ledger.OutgoingUpdates()[0].counts.size() ==
+        UsageLedger::kMaxCountsPerUpdate);
+  std::vector<UsageUpdate> many;
   for (WindowId window = 0; window < 100; ++window) {
     many.push_back({ window, 1, { { CustomerOf(1), 1 } } });
   }
@@ -122,16 +123,17 @@
   const TimePoint now = At(seconds(5));
   for (int i = 0; i < 4; ++i) {
     agreement.OnClockSample(InstanceName(fmt::format("g{}", i)),
-                      truth + milliseconds(i == 0 ? 2000 : i),
-                      now);
+                            truth + milliseconds(i == 0 ? 2000 : i),
+                            now);
   }
-  CHECK(agreement.TrueTime(truth - seconds(2), now) == truth + milliseconds(2));
+  CHECK(agreement.AgreedTime(truth - seconds(2), now) ==
+        truth + milliseconds(2));
   const TimePoint later = now + seconds(1);
-  CHECK(agreement.TrueTime(truth + seconds(3), later) ==
+  CHECK(agreement.AgreedTime(truth + seconds(3), later) ==
         truth + milliseconds(1003));
   // Outdated samples are ignored.
   const TimePoint muchLater = now + seconds(60);
-  CHECK(agreement.TrueTime(truth + seconds(77), muchLater) ==
+  CHECK(agreement.AgreedTime(truth + seconds(77), muchLater) ==
         truth + seconds(77));
 }
 
--- a/test/WarmStart.cpp
+++ b/test/WarmStart.cpp
@@ -63,25 +63,26 @@
 
 TEST_CASE("own observations take precedence over the warm state", "[warm]")
 {
-  PrefillFlow flow;
+  PrefillStatistics flow;
   flow.Seed({ 9000, 0.04, 2e6 });
-  CHECK(flow.ExpectedRead(4000) == Duration(100'000));
+  CHECK(flow.ExpectedPrefillTime(4000) == Duration(100'000));
   CHECK(flow.IsLong(9001));
   for (int i = 0; i < 200; ++i) {
     flow.OnRequest(1000);
     flow.OnFirstToken(InstanceName("e"), 10'000, milliseconds(100));
   }
   flow.Seed({ 9000, 0.04, 2e6 });
-  CHECK(flow.ExpectedRead(10'000) < milliseconds(110));
+  CHECK(flow.ExpectedPrefillTime(10'000) < milliseconds(110));
 
-  CacheBelief caches;
+  CacheTracker caches;
   const InstanceName server("e");
   caches.OnUsed(server, std::vector<PromptStep>{ { 1, 100 } }, 250);
   caches.Seed(
     server, std::vector<PromptStep>{ { 1, 100 }, { 2, 100 }, { 3, 100 } }, 250);
-  CHECK(caches.TokensHeld(server, std::vector<PromptStep>{ { 2, 100 } }) ==
-        100);
-  CHECK(caches.TokensHeld(server, std::vector<PromptStep>{ { 3, 100 } }) == 0);
+  CHECK(caches.CachedPrefixTokens(
+          server, std::vector<PromptStep>{ { 2, 100 } }) == 100);
+  CHECK(caches.CachedPrefixTokens(server,
+                                  std::vector<PromptStep>{ { 3, 100 } }) == 0);
   CHECK(caches.MostRecentlyUsed(1)[0].second ==
         std::vector<PromptStep>{ PromptStep{ 1, 100 } });
 
--- a/test/support/LoadSimulation.h
+++ b/test/support/LoadSimulation.h
@@ -241,7 +241,7 @@
     ++this->tallies[aKind].asked;
     const auto candidates =
       gateway.pool->Candidates(this->service, demand, {}, this->now);
-    PlacementRequest request{ demand, PlacesOf(kind.rank, kRankCount) };
+    PlacementRequest request{ demand, PriorityLevelsOf(kind.rank, kRankCount) };
     request.target = kind.target;
     request.outputTokens = kind.answerTokens;
     const auto placed =
@@ -260,16 +260,16 @@
                         const RequestKind& aKind,
                         std::span<const PromptPart> aParts)
   {
-    PrefillFlow& statistics = aPool.FlowOf(this->service.name);
+    PrefillStatistics& statistics = aPool.FlowOf(this->service.name);
     PauseProfile& pauses = aPool.PausesOf(this->service.name);
     const bool isReserving = aPool.Decisions().reservedServers;
     DirectDemand demand;
     demand.promptTokens = aKind.sharedTokens + aKind.ownTokens;
     demand.steps = StepsOf(aParts);
     demand.sharedTokens = SharedTokens(demand.steps);
-    demand.rank = PlacesOf(aKind.rank, kRankCount).inTime;
+    demand.rank = PriorityLevelsOf(aKind.rank, kRankCount).inTime;
     if (aPool.Decisions().rankedTurns) {
-      demand.turnRank = demand.rank;
+      demand.queueRank = demand.rank;
     }
     statistics.OnRequest(demand.promptTokens);
     pauses.OnRequest(aKind.maxPause);
@@ -278,8 +278,9 @@
                       ? !demand.isInteractive
                       : statistics.IsLong(demand.promptTokens);
     demand.tokensPerTarget = statistics.TokensIn(aKind.target);
-    demand.tokensPerTurn = statistics.TokensPerTurn(this->service.slots)
-                             .value_or(DirectDemand::kGuessedTokensPerTurn);
+    demand.tokensPerQueuePosition =
+      statistics.TokensPerQueuePosition(this->service.slots)
+        .value_or(DirectDemand::kDefaultTokensPerQueuePosition);
     return demand;
   }
 
@@ -290,11 +291,11 @@
                                 const Placement& aPlacement) const
   {
     const std::uint32_t cached =
-      this->caches.TokensHeld(aEngine.name, aDemand.steps);
+      this->caches.CachedPrefixTokens(aEngine.name, aDemand.steps);
     const std::uint32_t atSource =
-      aPlacement.fetch
-        ? this->caches.TokensHeld(aPlacement.fetch->instance, aDemand.steps)
-        : 0;
+      aPlacement.fetch ? this->caches.CachedPrefixTokens(
+                           aPlacement.fetch->instance, aDemand.steps)
+                       : 0;
     const std::uint32_t copied = atSource - std::min(atSource, cached);
     return aDemand.promptTokens - cached - copied + copied / kCopySpeed;
   }
@@ -369,7 +370,7 @@
   {
     const std::uint64_t id = aSequence.id.sequence;
     Running& running = this->requests.at(id);
-    PrefillFlow& statistics = running.pool->FlowOf(this->service.name);
+    PrefillStatistics& statistics = running.pool->FlowOf(this->service.name);
     if (!running.hasFirstToken) {
       running.hasFirstToken = true;
       const Duration latency = Between(running.arrived, this->now);
@@ -447,7 +448,7 @@
   void OnComplete(const Running& aRunning)
   {
     aRunning.pool->FlowOf(this->service.name)
-      .OnStay(Between(aRunning.arrived, this->now));
+      .OnRequestTime(Between(aRunning.arrived, this->now));
     aRunning.pool->PausesOf(this->service.name)
       .OnStream(this->kinds[aRunning.kind].maxPause, aRunning.longestPause);
   }
@@ -460,7 +461,7 @@
                          .slots = 0 };
   Placer placer;
   /// Actual content of the engines' caches.
-  CacheBelief caches;
+  CacheTracker caches;
   std::vector<RequestKind> kinds;
   std::vector<Tally> tallies;
   std::mt19937_64 random;
