--- a/dogwoodvale/src/Gateway/Admission.cpp
+++ b/dogwoodvale/src/Gateway/Admission.cpp
@@ -97,7 +97,7 @@
   admitted.service = admitted.routes->FindService(service);
   if (admitted.service == nullptr) {
     return Refusal(ErrorCode::NoBackendServer,
-                   "the configuration lacks the route's service",
+                   "the route's service is unknown",
                    kConfigurationRetryAfter);
   }
   admitted.rank = admitted.routes->RankOf(*admitted.route, customer, service);
--- a/dogwoodvale/src/Gateway/DirectAttempt.cpp
+++ b/dogwoodvale/src/Gateway/DirectAttempt.cpp
@@ -54,8 +54,7 @@
   , listener(aListener)
   , splitter(this->plan.resumeAfter)
   , silenceTimer(aLoop, [this] {
-    this->Fail(AttemptFailure::Silent,
-               "the server sent nothing within the time-out");
+    this->Fail(AttemptFailure::Silent, "no sign of life in time");
   })
 {
 }
@@ -123,15 +122,14 @@
 {
   if (!this->isStream) {
     if (this->body.size() + aBytes.size() > kMaxBufferedBytes) {
-      this->Fail(AttemptFailure::Garbled, "the answer exceeds the size bound");
+      this->Fail(AttemptFailure::Garbled, "the answer is too long");
       return;
     }
     this->body += aBytes;
     return;
   }
   if (!this->answer.isGenuine) {
-    this->Fail(AttemptFailure::Garbled,
-               "the stream lacks proof that a backend server sent it");
+    this->Fail(AttemptFailure::Garbled, "a stream with no proof of its server");
     return;
   }
   const absl::StatusOr<std::string_view> events = this->splitter.Feed(aBytes);
@@ -152,12 +150,11 @@
   if (this->answer.notRun) {
     this->Fail(this->answer.wrongInstance ? AttemptFailure::WrongInstance
                                           : AttemptFailure::Refused,
-               "the server refused the request without running it");
+               "the server did not run it");
     return;
   }
   if (this->answer.wrongInstance || this->answer.status == kMisdirected) {
-    this->Fail(AttemptFailure::WrongInstance,
-               "another instance answers at the server's address");
+    this->Fail(AttemptFailure::WrongInstance, "another instance is there");
     return;
   }
   if (!this->isStream) {
@@ -165,8 +162,7 @@
     return;
   }
   if (this->splitter.HasPartialEvent() || this->splitter.EventCount() == 0) {
-    this->Fail(AttemptFailure::Garbled,
-               "the stream ended inside an event or without any");
+    this->Fail(AttemptFailure::Garbled, "the stream ended inside an event");
     return;
   }
   this->listener.OnAttemptStreamEnd();
--- a/dogwoodvale/src/Gateway/EventSplitter.cpp
+++ b/dogwoodvale/src/Gateway/EventSplitter.cpp
@@ -55,7 +55,7 @@
   const std::size_t end = EndOfEvents(this->pending);
   if (end == 0) {
     if (this->pending.size() > kMaxEventBytes) {
-      return absl::ResourceExhaustedError("an event exceeds the size bound");
+      return absl::ResourceExhaustedError("an event is too long");
     }
     return std::string_view{};
   }
@@ -83,7 +83,7 @@
     // would mix two runs into one answer.
     if (this->last && *id != *this->last + 1) {
       return MakeError(absl::StatusCode::kDataLoss,
-                       "event id {} follows event id {}",
+                       "event {} follows event {}",
                        *id,
                        *this->last);
     }
--- a/dogwoodvale/src/Gateway/GatewayMetrics.cpp
+++ b/dogwoodvale/src/Gateway/GatewayMetrics.cpp
@@ -5,17 +5,16 @@
 GatewayMetrics::GatewayMetrics()
   : refusals(this->registry.AddCounter<ReasonLabels>(
       "gateway_refusals_total",
-      "Requests refused on admission, by error code."))
+      "Requests refused before they had a route."))
   , prompts(this->registry.AddCounter<ReasonLabels>(
       "gateway_prompts_total",
-      "Prompts by expected timeliness; \"fetch\": a prefix was to be copied "
-      "from another server's cache."))
-  , gauges(
-      this->registry.AddGauge<ReasonLabels>("gateway_state",
-                                            "Current state of the gateway."))
-  , droppedLines(this->registry.AddCounter(
-      "log_lines_dropped_total",
-      "Log lines dropped because the reader was too slow."))
+      "Prompts by what was decided of them; \"fetch\": parts were to be "
+      "copied from another server's cache."))
+  , gauges(this->registry.AddGauge<ReasonLabels>("gateway_state",
+                                                 "The gateway's state now."))
+  , droppedLines(
+      this->registry.AddCounter("log_lines_dropped_total",
+                                "Log lines that their reader did not take."))
 {
   this->registry.AddSource(this->classes);
   this->registry.AddSource(this->customers);
--- a/dogwoodvale/src/Gateway/GatewayOperators.cpp
+++ b/dogwoodvale/src/Gateway/GatewayOperators.cpp
@@ -133,9 +133,7 @@
     return OperatorHandler::Other(aRequest);
   }
   if (!this->peers->HasValidProof(aRequest.path)) {
-    return { kHttpForbidden,
-             "text/plain; charset=utf-8",
-             "missing or invalid proof\n" };
+    return { kHttpForbidden, "text/plain; charset=utf-8", "no proof\n" };
   }
   auto document = this->DocumentAt(path);
   if (!document) {
--- a/dogwoodvale/src/Gateway/GatewayRequest.cpp
+++ b/dogwoodvale/src/Gateway/GatewayRequest.cpp
@@ -75,9 +75,8 @@
   CrashGuard& guard = this->host.Crashes();
   const RequestFingerprint request = this->admitted.fingerprint;
   if (guard.IsQuarantined(request)) {
-    this->GiveUp(
-      ErrorCode::Quarantined,
-      "it is quarantined: it crashes the backend servers that run it");
+    this->GiveUp(ErrorCode::Quarantined,
+                 "it crashes the backend servers that run it");
     return false;
   }
   const std::optional<Duration> wait = this->suspectWait.Next(
@@ -112,9 +111,7 @@
   this->outcome.cachedTokens = server.cachedTokens;
   this->outcome.placement = *placed;
   if (placed->timeliness == Timeliness::Hopeless) {
-    this->GiveUp(ErrorCode::QueueFull,
-                 "every server's queue is too long for the latency target",
-                 placed->wait);
+    this->GiveUp(ErrorCode::QueueFull, "all servers are behind", placed->wait);
     return;
   }
   BackendClient* client = pool.Acquire(server.name, this->admitted.demand, now);
@@ -296,8 +293,7 @@
   this->RecordFirstResponse(Now());
   const BackendAnswer& answer = this->attempt->Answer();
   if (!answer.isGenuine) {
-    this->HandleFailure(AttemptFailure::Garbled,
-                        "the answer lacks proof that a backend server sent it");
+    this->HandleFailure(AttemptFailure::Garbled, "an answer with no proof");
     return;
   }
   // A whole answer arrives after the run, so the time of sending stands for its
@@ -312,7 +308,7 @@
   // forwarded.
   if (this->streamStarted) {
     this->HandleFailure(AttemptFailure::Garbled,
-                        "expected a resumed stream, got a whole answer");
+                        "no stream where one was to go on");
     return;
   }
   if (!this->ShouldForward(answer)) {
@@ -344,11 +340,10 @@
   this->outcome.status = this->attempt->Answer().status;
   this->outcome.complete = IsSuccess(this->outcome.status);
   if (!this->outcome.complete) {
-    this->outcome.error =
-      RequestError{ ErrorCode::BackendFailed,
-                    Disposition::MayHaveRun,
-                    "the server answered with an error status",
-                    milliseconds(0) };
+    this->outcome.error = RequestError{ ErrorCode::BackendFailed,
+                                        Disposition::MayHaveRun,
+                                        "the server's own failure",
+                                        milliseconds(0) };
   }
   this->exchange->Respond(
     this->outcome.status, this->attempt->Headers(), aBody);
@@ -434,7 +429,7 @@
   this->GiveUp(ErrorCode::NoBackendServer,
                wait > Duration::zero()
                  ? "its backend servers take no more for now"
-                 : "no backend server can take the request",
+                 : "no backend server takes it",
                wait);
 }
 
--- a/dogwoodvale/src/Requests/AnswerAssembler.cpp
+++ b/dogwoodvale/src/Requests/AnswerAssembler.cpp
@@ -47,10 +47,10 @@
     return receiving;
   }
   if (aCount != this->digest->Count()) {
-    return this->Fail("chunk count mismatch");
+    return this->Fail("wrong count of chunks");
   }
   if (aChecksum != this->digest->Value()) {
-    return this->Fail("checksum mismatch");
+    return this->Fail("wrong checksum");
   }
   this->state = State::Complete;
   return absl::OkStatus();
@@ -61,7 +61,7 @@
 {
   if (this->state == State::Idle || aId != this->id) {
     return MakeError(absl::StatusCode::kFailedPrecondition,
-                     "chunk belongs to another attempt, {}",
+                     "chunk of another attempt, {}",
                      dogwoodvale::ToString(aId));
   }
   if (this->state != State::Receiving) {
