--- a/dogwoodvale/src/Backpressure/ServerRates.cpp
+++ b/dogwoodvale/src/Backpressure/ServerRates.cpp
@@ -25,7 +25,7 @@
 } // namespace
 
 ServerRates::ServerRates(InstanceName aSelf, Duration aSettle)
-  : holders(std::move(aSelf), aSettle)
+  : allocator(std::move(aSelf), aSettle)
 {
 }
 
@@ -159,14 +159,14 @@
     return nullptr;
   }
   Entry& entry = found->second;
-  const std::uint64_t version = this->holders.Version(aNow);
+  const std::uint64_t version = this->allocator.Version(aNow);
   if (entry.cells == aCells && entry.holdersVersion == version) {
     return &entry;
   }
   entry.cells = aCells;
   entry.holdersVersion = version;
   const RateShare share =
-    this->holders.ShareOf(aServer, *entry.perSecond, aCells);
+    this->allocator.ShareOf(aServer, *entry.perSecond, aCells);
   if (share != entry.share) {
     // Keeps the saved tokens, up to the new burst size. A new bucket starts
     // empty, since requests sent before the server stated its limit are still
--- a/dogwoodvale/src/Backpressure/ServerRates.h
+++ b/dogwoodvale/src/Backpressure/ServerRates.h
@@ -42,7 +42,7 @@
 public:
   ServerRates(InstanceName aSelf, Duration aSettle);
 
-  RateAllocator& Allocator() { return this->holders; }
+  RateAllocator& Allocator() { return this->allocator; }
 
   /// Handles the headers of a response.
   /// \return the change of the server's limit; nothing if it is unchanged.
@@ -123,7 +123,7 @@
                      std::size_t aCells,
                      TimePoint aNow);
 
-  RateAllocator holders;
+  RateAllocator allocator;
   std::map<InstanceName, Entry> entries;
 };
 
--- a/dogwoodvale/src/Duties/UsageLedger.cpp
+++ b/dogwoodvale/src/Duties/UsageLedger.cpp
@@ -23,10 +23,10 @@
 std::vector<UsageUpdate>
 UsageLedger::OutgoingUpdates()
 {
-  std::vector<UsageUpdate> news;
+  std::vector<UsageUpdate> updates;
   const auto own = this->sources.find(this->self);
   if (own == this->sources.end()) {
-    return news;
+    return updates;
   }
   std::map<WindowId, UsageCounts> changed;
   std::size_t added = 0;
@@ -38,17 +38,17 @@
     it = --it->second == 0 ? this->pendingUpdates.erase(it) : std::next(it);
   }
   for (const auto& [window, counted] : own->second) {
-    news.push_back({ window, counted.total, std::move(changed[window]) });
+    updates.push_back({ window, counted.total, std::move(changed[window]) });
   }
-  return news;
+  return updates;
 }
 
 void
-UsageLedger::Merge(Windows& aWindows, const UsageUpdate& aNews)
+UsageLedger::Merge(Windows& aWindows, const UsageUpdate& aUpdate)
 {
-  Counted& counted = aWindows[aNews.window];
-  counted.total = std::max(counted.total, aNews.total);
-  for (const auto& [customer, count] : aNews.counts) {
+  Counted& counted = aWindows[aUpdate.window];
+  counted.total = std::max(counted.total, aUpdate.total);
+  for (const auto& [customer, count] : aUpdate.counts) {
     if (counted.counts.size() >= kMaxCustomers &&
         !counted.counts.contains(customer)) {
       continue;
@@ -65,16 +65,16 @@
 
 void
 UsageLedger::OnUpdate(const UsageSource& aSource,
-                      std::span<const UsageUpdate> aNews)
+                      std::span<const UsageUpdate> aUpdates)
 {
   // Other processes' copies of this process's counts are never newer than its
   // own.
-  if (aSource == this->self || aNews.empty()) {
+  if (aSource == this->self || aUpdates.empty()) {
     return;
   }
   Windows& windows = this->sources[aSource];
-  for (const UsageUpdate& news : aNews) {
-    Merge(windows, news);
+  for (const UsageUpdate& update : aUpdates) {
+    Merge(windows, update);
   }
 }
 
--- a/dogwoodvale/src/Duties/UsageLedger.h
+++ b/dogwoodvale/src/Duties/UsageLedger.h
@@ -46,7 +46,8 @@
   /// total and the recently changed counts.
   std::vector<UsageUpdate> OutgoingUpdates();
   /// Merges the updates of another source; this process's own are ignored.
-  void OnUpdate(const UsageSource& aSource, std::span<const UsageUpdate> aNews);
+  void OnUpdate(const UsageSource& aSource,
+                std::span<const UsageUpdate> aUpdates);
 
   /// Whether, for each source, the received counts add up to its total.
   bool IsComplete(WindowId aWindow) const;
@@ -76,7 +77,7 @@
   };
   using Windows = std::map<WindowId, Counted>;
 
-  static void Merge(Windows& aWindows, const UsageUpdate& aNews);
+  static void Merge(Windows& aWindows, const UsageUpdate& aUpdate);
 
   UsageSource self;
   std::map<UsageSource, Windows> sources;
--- a/dogwoodvale/src/Gateway/Admission.cpp
+++ b/dogwoodvale/src/Gateway/Admission.cpp
@@ -23,7 +23,7 @@
 DemandOf(const AdmittedRequest& aRequest, BackendPool& aPool)
 {
   const ServiceName& service = aRequest.service->name;
-  PrefillStatistics& flow = aPool.FlowOf(service);
+  PrefillStatistics& prefill = aPool.PrefillOf(service);
   PauseProfile& pauses = aPool.PausesOf(service);
   const Duration bound = aRequest.route->targetGap;
   DirectDemand demand;
@@ -31,7 +31,7 @@
   demand.steps =
     StepsOf(aRequest.callerMetadata.prompt, aRequest.callerMetadata.model);
   demand.sharedTokens = SharedTokens(demand.steps);
-  flow.OnRequest(demand.promptTokens);
+  prefill.OnRequest(demand.promptTokens);
   pauses.OnRequest(bound);
   // Without ranked reading every request has the lowest rank, so the prefill
   // tokens of all requests count as ahead of it.
@@ -44,10 +44,10 @@
     aPool.Decisions().reservedServers && pauses.IsInteractive(bound);
   demand.isLong = aPool.Decisions().reservedServers && pauses.HasInteractive()
                     ? !demand.isInteractive
-                    : flow.IsLong(demand.promptTokens);
-  demand.tokensPerTarget = flow.TokensIn(aRequest.route->target);
+                    : prefill.IsLong(demand.promptTokens);
+  demand.tokensPerTarget = prefill.TokensIn(aRequest.route->target);
   demand.tokensPerQueuePosition =
-    flow.TokensPerQueuePosition(aRequest.service->slots)
+    prefill.TokensPerQueuePosition(aRequest.service->slots)
       .value_or(DirectDemand::kDefaultTokensPerQueuePosition);
   return demand;
 }
--- a/dogwoodvale/src/Gateway/BackendPool.cpp
+++ b/dogwoodvale/src/Gateway/BackendPool.cpp
@@ -66,7 +66,7 @@
 BackendPool::BackendPool(EventLoop& aLoop, Options aOptions)
   : loop(aLoop)
   , options(std::move(aOptions))
-  , needs(this->options.self)
+  , backpressure(this->options.self)
 {
 }
 
@@ -192,10 +192,10 @@
   }
   for (auto it = this->members.begin(); it != this->members.end();) {
     Member& member = it->second;
-    // Kept here because `needs` forgets the announcement after a while, whereas
-    // the server may stay listed for longer.
+    // Kept here because `backpressure` forgets the announcement after a while,
+    // whereas the server may stay listed for longer.
     member.instance.leaving =
-      member.instance.leaving || this->needs.IsLeaving(it->first);
+      member.instance.leaving || this->backpressure.IsLeaving(it->first);
     if (!this->TakesWork(member)) {
       member.client->CloseIdleConnections();
     }
@@ -206,8 +206,8 @@
     }
     Log(LogLevel::Info, "instance_removed", "instance", it->first.Value());
     this->caches.Forget(it->first);
-    this->needs.Forget(it->first);
-    this->flows[member.instance.service].Forget(it->first);
+    this->backpressure.Forget(it->first);
+    this->prefillByService[member.instance.service].Forget(it->first);
     this->health[member.instance.service].Remove(it->first);
     ServiceServers& listed = this->byService[member.instance.service];
     std::erase(listed.all, it->first);
@@ -262,7 +262,7 @@
 BackendPool::TakesWork(const Member& aMember) const
 {
   return aMember.isListed && !aMember.instance.leaving &&
-         !this->needs.IsLeaving(aMember.instance.name);
+         !this->backpressure.IsLeaving(aMember.instance.name);
 }
 
 bool
@@ -318,7 +318,7 @@
                         std::span<const DirectCandidate> aCandidates,
                         TimePoint aNow)
 {
-  ServerRates& rates = this->needs.Rates();
+  ServerRates& rates = this->backpressure.Rates();
   // Ranks compete only if every candidate limits its rate. LimitedCount() makes
   // the common case cheap, in which no server does.
   if (rates.LimitedCount() == 0 ||
@@ -365,7 +365,7 @@
 {
   std::vector<DirectCandidate> found;
   const auto tracker = this->health.find(aService.name);
-  const auto flow = this->flows.find(aService.name);
+  const auto prefill = this->prefillByService.find(aService.name);
   const auto reservation = this->reserved.find(aService.name);
   std::size_t reservedLeft =
     reservation == this->reserved.end() ? 0 : reservation->second.Count();
@@ -376,14 +376,14 @@
     if (!this->TakesWork(member)) {
       continue;
     }
-    const HealthState standing = tracker->second.HealthStateOf(name);
+    const HealthState healthState = tracker->second.HealthStateOf(name);
     const bool isReserved =
-      reservedLeft > 0 && standing == HealthState::InService;
+      reservedLeft > 0 && healthState == HealthState::InService;
     reservedLeft -= isReserved ? 1 : 0;
     if (std::ranges::find(aExcluded, name) != aExcluded.end() ||
         !this->HasConnectionCapacity(
           member, aService, slots, aSharingGateways) ||
-        !this->needs.MaySend(name, this->CellsOf(member), aNow)) {
+        !this->backpressure.MaySend(name, this->CellsOf(member), aNow)) {
       continue;
     }
     DirectCandidate candidate;
@@ -392,12 +392,12 @@
     candidate.work = this->work.Total(name);
     candidate.slots = slots;
     candidate.cacheTokens = aService.cacheTokens;
-    candidate.healthState = standing;
+    candidate.healthState = healthState;
     candidate.isReserved = isReserved;
     candidate.cachedTokens =
       this->caches.CachedPrefixTokens(name, aDemand.steps);
-    if (flow != this->flows.end()) {
-      candidate.recentLongTokens = flow->second.RecentLongTokens(name, aNow);
+    if (prefill != this->prefillByService.end()) {
+      candidate.recentLongTokens = prefill->second.RecentLongTokens(name, aNow);
     }
     found.push_back(std::move(candidate));
   }
@@ -414,7 +414,7 @@
 {
   const auto found = this->members.find(aInstance);
   if (found != this->members.end()) {
-    this->flows[found->second.instance.service].OnLongPrompt(
+    this->prefillByService[found->second.instance.service].OnLongPrompt(
       aInstance, aTokens, aNow);
   }
 }
@@ -431,13 +431,13 @@
   const Member& member = found->second;
   const std::size_t split = this->CellsOf(member);
   if (!this->TakesWork(member) ||
-      !this->needs.MaySend(aInstance, split, aNow)) {
+      !this->backpressure.MaySend(aInstance, split, aNow)) {
     return nullptr;
   }
-  if (this->needs.Rates().IsLimited(aInstance)) {
+  if (this->backpressure.Rates().IsLimited(aInstance)) {
     this->reserves[member.instance.service].OnSent(aDemand.rank);
   }
-  this->needs.OnSent(aInstance, split, aNow);
+  this->backpressure.OnSent(aInstance, split, aNow);
   return member.client.get();
 }
 
@@ -464,7 +464,7 @@
   for (const InstanceName& name : listed->second.all) {
     if (this->TakesWork(this->members.at(name))) {
       const Duration wait =
-        this->needs.UntilFree(name, listed->second.cells, aNow);
+        this->backpressure.UntilFree(name, listed->second.cells, aNow);
       shortest = std::min(shortest.value_or(wait), wait);
     }
   }
@@ -577,8 +577,8 @@
 BackendPool::Estimates() const
 {
   std::vector<ServiceEstimates> estimates;
-  for (const auto& [service, flow] : this->flows) {
-    ServiceEstimates one{ service, flow.Estimates() };
+  for (const auto& [service, prefill] : this->prefillByService) {
+    ServiceEstimates one{ service, prefill.Estimates() };
     const auto servers = this->reserved.find(service);
     if (servers != this->reserved.end()) {
       one.interactivePeak = servers->second.Peak();
@@ -592,7 +592,7 @@
 BackendPool::Seed(std::span<const ServiceEstimates> aEstimates, TimePoint aNow)
 {
   for (const ServiceEstimates& one : aEstimates) {
-    this->flows[one.service].Seed(one.reading);
+    this->prefillByService[one.service].Seed(one.reading);
     this->reserved[one.service].Seed(one.interactivePeak, aNow);
   }
 }
@@ -632,7 +632,7 @@
                       TimePoint aNow)
 {
   if (this->members.contains(aInstance)) {
-    this->needs.OnNotice(aInstance, aNotice, aNow);
+    this->backpressure.OnNotice(aInstance, aNotice, aNow);
   }
 }
 
@@ -640,7 +640,7 @@
 BackendPool::ApplyDigest(const PeerDigest& aDigest, TimePoint aNow)
 {
   this->work.SetPeer(aDigest.gateway, aDigest.work, aNow);
-  this->needs.ApplyDigest(
+  this->backpressure.ApplyDigest(
     aDigest,
     [this](const InstanceName& aName) { return this->MayUse(aName); },
     aNow);
--- a/dogwoodvale/src/Gateway/BackendPool.h
+++ b/dogwoodvale/src/Gateway/BackendPool.h
@@ -86,7 +86,7 @@
   /// according to the servers' back-pressure notices; 0 if one accepts it now
   /// or the service has no server that accepts work.
   Duration UntilFree(const ServiceName& aService, TimePoint aNow);
-  ServerBackpressure& Needs() { return this->needs; }
+  ServerBackpressure& Backpressure() { return this->backpressure; }
   /// The address of the instance; nothing if the pool does not have it.
   std::optional<SocketAddress> AddressOf(const InstanceName& aInstance) const;
   /// Whether the instance is on the newest list.
@@ -138,9 +138,9 @@
   {
     return this->pauses[aService];
   }
-  PrefillStatistics& FlowOf(const ServiceName& aService)
+  PrefillStatistics& PrefillOf(const ServiceName& aService)
   {
-    return this->flows[aService];
+    return this->prefillByService[aService];
   }
   WorkTable& Work() { return this->work; }
   const CacheTracker& Caches() const { return this->caches; }
@@ -212,10 +212,10 @@
   std::map<InstanceName, Member> members;
   absl::flat_hash_map<ServiceName, ServiceServers> byService;
   std::map<ServiceName, HealthTracker> health;
-  std::map<ServiceName, PrefillStatistics> flows;
+  std::map<ServiceName, PrefillStatistics> prefillByService;
   std::map<ServiceName, PauseProfile> pauses;
   std::map<ServiceName, ReservedServers> reserved;
-  ServerBackpressure needs;
+  ServerBackpressure backpressure;
   std::map<ServiceName, RankReserve> reserves;
   WorkTable work;
   CacheTracker caches;
--- a/dogwoodvale/src/Gateway/Gateway.cpp
+++ b/dogwoodvale/src/Gateway/Gateway.cpp
@@ -317,7 +317,7 @@
   for (const GatewayMember& gateway : aGateways) {
     names.push_back(gateway.name);
   }
-  this->pool.Needs().SetGateways(names, Now());
+  this->pool.Backpressure().SetGateways(names, Now());
   for (auto& [service, window] : this->retries) {
     window.SetGateways(this->GatewayCount());
   }
@@ -337,7 +337,7 @@
   digest.routed = std::move(this->routed);
   this->routed.clear();
   this->crashes.AddToDigest(digest);
-  this->pool.Needs().AddToDigest(digest, Now());
+  this->pool.Backpressure().AddToDigest(digest, Now());
   digest.list = this->directory->List(Now());
   this->usage.AddToDigest(digest);
   return digest;
@@ -455,7 +455,7 @@
 {
   Log(LogLevel::Warning, "suspended", "for_ms", WholeMillis(aLost));
   this->pool.CloseIdleConnections();
-  this->pool.Needs().OnSuspended(Now());
+  this->pool.Backpressure().OnSuspended(Now());
   this->directory->Refresh();
 }
 
--- a/dogwoodvale/src/Gateway/GatewayMetrics.cpp
+++ b/dogwoodvale/src/Gateway/GatewayMetrics.cpp
@@ -94,7 +94,7 @@
   set("peers", static_cast<double>(aGauges.peers));
   set("digests_refused", static_cast<double>(aGauges.digestsRefused));
   set("reserved_servers", static_cast<double>(aGauges.reserved));
-  set("servers_resting", static_cast<double>(aGauges.resting));
+  set("servers_resting", static_cast<double>(aGauges.backingOff));
   set("servers_rate_limited", static_cast<double>(aGauges.rateLimited));
   set("instances_rejected", static_cast<double>(aGauges.instancesRejected));
   set("servers_crashed", static_cast<double>(aGauges.serversCrashed));
--- a/dogwoodvale/src/Gateway/GatewayMetrics.h
+++ b/dogwoodvale/src/Gateway/GatewayMetrics.h
@@ -18,7 +18,7 @@
   /// Backend servers reserved for interactive requests, of all services.
   std::size_t reserved = 0;
   /// Backend servers that this gateway sends nothing until their back-off ends.
-  std::size_t resting = 0;
+  std::size_t backingOff = 0;
   /// Backend servers that limit the rate of requests.
   std::size_t rateLimited = 0;
   /// Store entries of backend servers that could not be parsed.
--- a/dogwoodvale/src/Gateway/GatewayOperators.cpp
+++ b/dogwoodvale/src/Gateway/GatewayOperators.cpp
@@ -59,8 +59,8 @@
   gauges.peers = this->pool.Work().PeerCount();
   gauges.digestsRefused = this->peers->DigestsRejected();
   gauges.reserved = this->pool.ReservedCount();
-  gauges.rateLimited = this->pool.Needs().Rates().LimitedCount();
-  gauges.resting = this->pool.Needs().Rests().BackingOffCount(now);
+  gauges.rateLimited = this->pool.Backpressure().Rates().LimitedCount();
+  gauges.backingOff = this->pool.Backpressure().Backoffs().BackingOffCount(now);
   gauges.serversCrashed = this->crashes.ServersCrashed();
   gauges.suspects = this->crashes.Ledger().SuspectCount();
   gauges.quarantined = this->crashes.Ledger().QuarantinedCount(now);
--- a/dogwoodvale/src/Gateway/GatewayRequest.cpp
+++ b/dogwoodvale/src/Gateway/GatewayRequest.cpp
@@ -97,11 +97,11 @@
   BackendPool& pool = this->host.Backends();
   const std::vector<DirectCandidate> candidates = pool.Candidates(
     *this->admitted.service, this->admitted.demand, this->excluded, now);
-  const std::optional<Placement> placed =
-    this->host.RequestPlacer().Place(candidates,
-                                     this->MakePlacementRequest(now),
-                                     pool.FlowOf(this->admitted.service->name),
-                                     this->host.Random());
+  const std::optional<Placement> placed = this->host.RequestPlacer().Place(
+    candidates,
+    this->MakePlacementRequest(now),
+    pool.PrefillOf(this->admitted.service->name),
+    this->host.Random());
   if (!placed) {
     this->GiveUpUnplaced();
     return;
@@ -204,14 +204,14 @@
   }
   this->sent->hasResponded = true;
   const Duration latency = Between(this->sent->at, aNow);
-  PrefillStatistics& flow =
-    this->host.Backends().FlowOf(this->admitted.service->name);
+  PrefillStatistics& statistics =
+    this->host.Backends().PrefillOf(this->admitted.service->name);
   const std::uint64_t prefilled =
     this->outcome.placement.prefillAhead + this->sent->work.Prefill();
   this->HealthOf(this->sent->instance)
     .OnFirstResponse(
-      latency, this->admitted.demand.promptTokens, prefilled, flow);
-  flow.OnFirstToken(this->sent->instance, prefilled, latency);
+      latency, this->admitted.demand.promptTokens, prefilled, statistics);
+  statistics.OnFirstToken(this->sent->instance, prefilled, latency);
   BackendWork prefill;
   prefill.prefillTokens = this->sent->work.prefillTokens;
   this->host.Backends().OnDone(this->sent->instance, prefill);
@@ -516,7 +516,7 @@
   if (this->outcome.complete && this->sent) {
     BackendPool& pool = this->host.Backends();
     const ServiceName& service = this->admitted.service->name;
-    pool.FlowOf(service).OnRequestTime(this->outcome.total);
+    pool.PrefillOf(service).OnRequestTime(this->outcome.total);
     if (this->streamStarted) {
       pool.PausesOf(service).OnStream(this->GetRoute().targetGap,
                                       this->outcome.longestGap);
--- a/dogwoodvale/src/Gateway/PeerDigest.cpp
+++ b/dogwoodvale/src/Gateway/PeerDigest.cpp
@@ -139,7 +139,7 @@
   MSGPACK_DEFINE_ARRAY(request, round, isLifted, leftMillis);
 };
 
-struct PackedNews
+struct PackedUsageUpdate
 {
   std::int64_t window = 0;
   std::uint64_t total = 0;
@@ -185,7 +185,7 @@
   std::int64_t timeOfDayMillis = 0;
   std::int64_t trueTimeMillis = 0;
   bool isUsageReporter = false;
-  std::vector<PackedNews> usage;
+  std::vector<PackedUsageUpdate> usage;
   std::vector<PackedRate> rates;
   std::vector<PackedLeaving> leaving;
 
@@ -247,14 +247,14 @@
 }
 
 void
-PackUsage(const UsageDigest& aWord, PackedDigest& aPacked)
+PackUsage(const UsageDigest& aUsage, PackedDigest& aPacked)
 {
-  aPacked.timeOfDayMillis = aWord.timeOfDay.count();
-  aPacked.trueTimeMillis = aWord.agreedTime.count();
-  aPacked.isUsageReporter = aWord.isReporter;
-  for (const UsageUpdate& news : aWord.counts) {
-    PackedNews packed{ news.window, news.total, {} };
-    for (const auto& [customer, count] : news.counts) {
+  aPacked.timeOfDayMillis = aUsage.timeOfDay.count();
+  aPacked.trueTimeMillis = aUsage.agreedTime.count();
+  aPacked.isUsageReporter = aUsage.isReporter;
+  for (const UsageUpdate& update : aUsage.counts) {
+    PackedUsageUpdate packed{ update.window, update.total, {} };
+    for (const auto& [customer, count] : update.counts) {
       packed.counts.emplace_back(customer.Value(), count);
     }
     aPacked.usage.push_back(std::move(packed));
@@ -264,28 +264,28 @@
 UsageDigest
 UnpackUsage(const PackedDigest& aPacked)
 {
-  UsageDigest word;
-  word.timeOfDay = milliseconds(aPacked.timeOfDayMillis);
-  word.agreedTime = milliseconds(aPacked.trueTimeMillis);
-  word.isReporter = aPacked.isUsageReporter;
-  for (const PackedNews& packed : aPacked.usage) {
-    UsageUpdate news{ packed.window, packed.total, {} };
+  UsageDigest usage;
+  usage.timeOfDay = milliseconds(aPacked.timeOfDayMillis);
+  usage.agreedTime = milliseconds(aPacked.trueTimeMillis);
+  usage.isReporter = aPacked.isUsageReporter;
+  for (const PackedUsageUpdate& packed : aPacked.usage) {
+    UsageUpdate update{ packed.window, packed.total, {} };
     for (const auto& [customer, count] : packed.counts) {
-      news.counts[CustomerName(customer)] = count;
+      update.counts[CustomerName(customer)] = count;
     }
-    word.counts.push_back(std::move(news));
+    usage.counts.push_back(std::move(update));
   }
-  return word;
+  return usage;
 }
 
 void
 PackRates(std::span<const RateUpdate> aRates, PackedDigest& aPacked)
 {
-  for (const RateUpdate& news : aRates) {
-    aPacked.rates.push_back({ news.server.Value(),
-                              news.perSecond.has_value(),
-                              news.perSecond.value_or(0),
-                              news.age.count() });
+  for (const RateUpdate& update : aRates) {
+    aPacked.rates.push_back({ update.server.Value(),
+                              update.perSecond.has_value(),
+                              update.perSecond.value_or(0),
+                              update.age.count() });
   }
 }
 
@@ -294,13 +294,13 @@
 {
   std::vector<RateUpdate> rates;
   for (PackedRate& packed : aPacked) {
-    RateUpdate news{ InstanceName(std::move(packed.server)),
-                     std::nullopt,
-                     milliseconds(packed.ageMillis) };
+    RateUpdate update{ InstanceName(std::move(packed.server)),
+                       std::nullopt,
+                       milliseconds(packed.ageMillis) };
     if (packed.isLimited) {
-      news.perSecond = packed.perSecond;
+      update.perSecond = packed.perSecond;
     }
-    rates.push_back(std::move(news));
+    rates.push_back(std::move(update));
   }
   return rates;
 }
@@ -335,8 +335,8 @@
   PackCrashes(aDigest, toPack);
   PackUsage(aDigest.usage, toPack);
   PackRates(aDigest.rates, toPack);
-  for (const LeavingUpdate& news : aDigest.leaving) {
-    toPack.leaving.push_back({ news.server.Value(), news.age.count() });
+  for (const LeavingUpdate& update : aDigest.leaving) {
+    toPack.leaving.push_back({ update.server.Value(), update.age.count() });
   }
   toPack.listSum = aDigest.list.checksum;
   toPack.listAgeMillis = aDigest.list.age.count();
--- a/dogwoodvale/src/Gateway/ServerBackpressure.cpp
+++ b/dogwoodvale/src/Gateway/ServerBackpressure.cpp
@@ -99,8 +99,8 @@
     LogLeaving(aServer, "answer", milliseconds(0));
   }
   if (!aNotice.backoffFor) {
-    this->rests.OnAnswer(aServer, aNow);
-  } else if (this->rests.OnRefused(aServer, *aNotice.backoffFor, aNow)) {
+    this->backoffs.OnAnswer(aServer, aNow);
+  } else if (this->backoffs.OnRefused(aServer, *aNotice.backoffFor, aNow)) {
     LogRest(aServer, *aNotice.backoffFor);
   }
   if (const auto change =
@@ -125,21 +125,21 @@
 {
   // Departures of servers that are not listed are recorded too: a list that
   // arrives later may be older than the report.
-  for (const LeavingUpdate& news : aDigest.leaving) {
-    if (this->leaving.OnUpdate(news, aNow)) {
-      LogLeaving(news.server, aDigest.gateway.Value(), news.age);
+  for (const LeavingUpdate& update : aDigest.leaving) {
+    if (this->leaving.OnUpdate(update, aNow)) {
+      LogLeaving(update.server, aDigest.gateway.Value(), update.age);
     }
   }
-  for (const RateUpdate& news : aDigest.rates) {
-    if (!aIsUsed(news.server)) {
+  for (const RateUpdate& update : aDigest.rates) {
+    if (!aIsUsed(update.server)) {
       continue;
     }
-    if (const auto change = this->rates.OnUpdate(news, aNow)) {
-      LogRateChange(news.server,
-                    news.perSecond,
+    if (const auto change = this->rates.OnUpdate(update, aNow)) {
+      LogRateChange(update.server,
+                    update.perSecond,
                     *change,
                     aDigest.gateway.Value(),
-                    news.age);
+                    update.age);
     }
   }
 }
@@ -148,7 +148,7 @@
 ServerBackpressure::Forget(const InstanceName& aServer)
 {
   this->rates.Forget(aServer);
-  this->rests.Forget(aServer);
+  this->backoffs.Forget(aServer);
   this->malformed.erase(aServer);
 }
 
@@ -158,7 +158,7 @@
                             TimePoint aNow)
 {
   return !this->leaving.Contains(aServer) &&
-         this->rests.MaySend(aServer, aNow) &&
+         this->backoffs.MaySend(aServer, aNow) &&
          this->rates.MaySend(aServer, aCells, aNow);
 }
 
@@ -167,7 +167,7 @@
                            std::size_t aCells,
                            TimePoint aNow)
 {
-  this->rests.OnSent(aServer, aNow);
+  this->backoffs.OnSent(aServer, aNow);
   this->rates.OnSent(aServer, aCells, aNow);
 }
 
@@ -176,7 +176,7 @@
                               std::size_t aCells,
                               TimePoint aNow)
 {
-  return std::max(this->rests.UntilFree(aServer, aNow),
+  return std::max(this->backoffs.UntilFree(aServer, aNow),
                   this->rates.UntilAllowed(aServer, aCells, aNow));
 }
 
--- a/dogwoodvale/src/Gateway/ServerBackpressure.h
+++ b/dogwoodvale/src/Gateway/ServerBackpressure.h
@@ -38,7 +38,7 @@
 
   ServerRates& Rates() { return this->rates; }
   const ServerRates& Rates() const { return this->rates; }
-  const ServerBackoffs& Rests() const { return this->rests; }
+  const ServerBackoffs& Backoffs() const { return this->backoffs; }
   /// Whether the server's signals allow a request from this gateway now.
   /// \param aCells number of cells of the site; 1 for a server that gateways of
   /// all cells use.
@@ -58,7 +58,7 @@
 private:
   ServerRates rates;
   LeavingServers leaving;
-  ServerBackoffs rests;
+  ServerBackoffs backoffs;
   /// Servers whose last notice was malformed.
   std::set<InstanceName> malformed;
 };
--- a/dogwoodvale/src/Gateway/UsageAccounting.cpp
+++ b/dogwoodvale/src/Gateway/UsageAccounting.cpp
@@ -142,8 +142,8 @@
         MessageOf(document.status()));
     return;
   }
-  for (const auto& [source, news] : document->sources) {
-    this->ledger.OnUpdate(source, news);
+  for (const auto& [source, updates] : document->sources) {
+    this->ledger.OnUpdate(source, updates);
   }
   if (cell != this->ownCell) {
     milliseconds& knownTo = this->cellsKnownTo[cell];
--- a/dogwoodvale/src/Gateway/UsageDocument.cpp
+++ b/dogwoodvale/src/Gateway/UsageDocument.cpp
@@ -7,15 +7,15 @@
 namespace {
 
 Json::Value
-ToJson(const UsageSource& aSource, const UsageUpdate& aNews)
+ToJson(const UsageSource& aSource, const UsageUpdate& aUpdate)
 {
   Json::Value value;
   value["process"] = aSource.process.Value();
   value["incarnation"] = Json::UInt64(aSource.incarnation);
-  value["window"] = Json::Int64(aNews.window);
-  value["total"] = Json::UInt64(aNews.total);
+  value["window"] = Json::Int64(aUpdate.window);
+  value["total"] = Json::UInt64(aUpdate.total);
   Json::Value& counts = value["counts"] = Json::objectValue;
-  for (const auto& [customer, count] : aNews.counts) {
+  for (const auto& [customer, count] : aUpdate.counts) {
     counts[customer.Value()] = Json::UInt64(count);
   }
   return value;
@@ -28,9 +28,9 @@
   UsageSource source;
   source.process = InstanceName(fields.Text("process"));
   source.incarnation = fields.Whole("incarnation");
-  UsageUpdate news;
-  news.window = fields.Int("window");
-  news.total = fields.Whole("total");
+  UsageUpdate update;
+  update.window = fields.Int("window");
+  update.total = fields.Whole("total");
   if (!fields.Status().ok()) {
     return fields.Status();
   }
@@ -42,9 +42,9 @@
     if (!counts[customer].isUInt64()) {
       return absl::DataLossError("a count is not a whole number");
     }
-    news.counts[CustomerName(customer)] = counts[customer].asUInt64();
+    update.counts[CustomerName(customer)] = counts[customer].asUInt64();
   }
-  aDocument.sources[source].push_back(std::move(news));
+  aDocument.sources[source].push_back(std::move(update));
   return absl::OkStatus();
 }
 
@@ -58,8 +58,8 @@
   document["written_ms"] = Json::Int64(aDocument.writtenAt.count());
   Json::Value& lines = document["lines"] = Json::arrayValue;
   for (const auto& [source, windows] : aDocument.sources) {
-    for (const UsageUpdate& news : windows) {
-      lines.append(ToJson(source, news));
+    for (const UsageUpdate& update : windows) {
+      lines.append(ToJson(source, update));
     }
   }
   return WriteJson(document);
--- a/dogwoodvale/src/Quarantine/CrashLedger.cpp
+++ b/dogwoodvale/src/Quarantine/CrashLedger.cpp
@@ -362,11 +362,11 @@
   const auto isNew = [aNow](TimePoint aReceivedAt) {
     return Between(aReceivedAt, aNow) < kRepeatTime;
   };
-  CrashUpdate news;
+  CrashUpdate update;
   for (const auto& [request, verdict] : this->verdicts) {
     const Duration left = this->QuarantineLeft(request, aNow);
     if (left > Duration::zero() || isNew(verdict.receivedAt)) {
-      news.verdicts.push_back(
+      update.verdicts.push_back(
         { request, verdict.round, verdict.isLifted, left });
     }
   }
@@ -389,11 +389,12 @@
   std::ranges::sort(lines, std::greater<>(), &Line::score);
   lines.resize(std::min(lines.size(), kMaxUpdateEntries));
   for (const Line& line : lines) {
-    news.evidence.push_back(line.evidence);
+    update.evidence.push_back(line.evidence);
   }
-  std::ranges::sort(news.verdicts, std::greater<>(), &QuarantineVerdict::left);
-  news.verdicts.resize(std::min(news.verdicts.size(), kMaxUpdateEntries));
-  return news;
+  std::ranges::sort(
+    update.verdicts, std::greater<>(), &QuarantineVerdict::left);
+  update.verdicts.resize(std::min(update.verdicts.size(), kMaxUpdateEntries));
+  return update;
 }
 
 std::vector<RequestFingerprint>
--- a/test/RateLimitedServers.cpp
+++ b/test/RateLimitedServers.cpp
@@ -108,7 +108,7 @@
   pool.SetInstances({ &instance, 1 });
   const std::vector<InstanceName> fleet{ InstanceName("g1") };
   const TimePoint now = Now();
-  pool.Needs().SetGateways(fleet, now);
+  pool.Backpressure().SetGateways(fleet, now);
   CHECK(pool.Acquire(instance.name, {}, now) != nullptr);
   BackpressureNotice limited;
   limited.rateLimit = 1.0;
--- a/test/support/LoadSimulation.h
+++ b/test/support/LoadSimulation.h
@@ -247,7 +247,7 @@
     const auto placed =
       this->placer.Place(candidates,
                          request,
-                         gateway.pool->FlowOf(this->service.name),
+                         gateway.pool->PrefillOf(this->service.name),
                          this->random);
     REQUIRE(placed.has_value());
     if (placed->timeliness != Timeliness::Hopeless) {
@@ -260,7 +260,7 @@
                         const RequestKind& aKind,
                         std::span<const PromptPart> aParts)
   {
-    PrefillStatistics& statistics = aPool.FlowOf(this->service.name);
+    PrefillStatistics& statistics = aPool.PrefillOf(this->service.name);
     PauseProfile& pauses = aPool.PausesOf(this->service.name);
     const bool isReserving = aPool.Decisions().reservedServers;
     DirectDemand demand;
@@ -370,7 +370,7 @@
   {
     const std::uint64_t id = aSequence.id.sequence;
     Running& running = this->requests.at(id);
-    PrefillStatistics& statistics = running.pool->FlowOf(this->service.name);
+    PrefillStatistics& statistics = running.pool->PrefillOf(this->service.name);
     if (!running.hasFirstToken) {
       running.hasFirstToken = true;
       const Duration latency = Between(running.arrived, this->now);
@@ -447,7 +447,7 @@
 
   void OnComplete(const Running& aRunning)
   {
-    aRunning.pool->FlowOf(this->service.name)
+    aRunning.pool->PrefillOf(this->service.name)
       .OnRequestTime(Between(aRunning.arrived, this->now));
     aRunning.pool->PausesOf(this->service.name)
       .OnStream(this->kinds[aRunning.kind].maxPause, aRunning.longestPause);
